--- /dev/null
+++ b/internal/core/leasevalue/golden_test.go
@@ -0,0 +1,64 @@
+package leasevalue
+
+import (
+	"fmt"
+	"testing"
+
+	"fawncove/internal/testkit/golden"
+	"fawncove/internal/wire"
+)
+
+// TestGoldenLeaseValue holds the lease value and its pages, in both forms, to the bytes
+// that the version in production writes, and reads the record from those bytes.
+func TestGoldenLeaseValue(t *testing.T) {
+	for _, form := range []int{FormPages, Form} {
+		t.Run(fmt.Sprintf("form %d", form), func(t *testing.T) {
+			// One controller: the order of more is not fixed in the encoding.
+			rec := wire.LeaseRecord{Form: form, Term: 7, Leader: "stall-1", Incarnation: 3, Grants: 9, Beat: 11,
+				Blocks: map[string]wire.Block{
+					"stall-0": {Grant: 4, Incarnation: 2, Renewal: 5, Machines: hosts(0, 2500), Old: hosts(2500, 2510), Recall: hosts(0, 2)},
+				},
+				Homes:   map[string]string{"red": "stall-0", wire.PartName("red", 1): "stall-0"},
+				Waiting: map[string]int{"g8": 12},
+				Shares:  map[string]wire.Shares{"red": {"stall-0": {CPUs: 30, Cards: 2}}},
+			}
+			if form == Form {
+				rec.Level, rec.Confirmed, rec.Generation = 2, 1, 3
+			}
+			var book Book
+			draft, err := book.Write(&rec, Limits{ValueBytes: 4096, TxnOps: 12})
+			if err != nil {
+				t.Fatal(err)
+			}
+			var read Book
+			for i := len(draft.Ops) - 1; i >= 0; i-- { // the pages, then the value
+				encoded, err := wire.Encode(draft.Ops[i].Value)
+				if err != nil {
+					t.Fatal(err)
+				}
+				stored := golden.Check(t, fmt.Sprintf("lease-value-%d-%d", form, i), encoded)
+				if page, err := read.ReadPage(draft.Ops[i].Put, stored); err != nil || page != (i > 0) {
+					t.Fatalf("%s: page %t, %v", draft.Ops[i].Put, page, err)
+				}
+				if i > 0 {
+					continue
+				}
+				got, err := read.Read(stored)
+				if err != nil {
+					t.Fatal(err)
+				}
+				if fmt.Sprint(got) != fmt.Sprint(rec) {
+					t.Errorf("read as\n%v\nwritten as\n%v", got, rec)
+				}
+			}
+		})
+	}
+}
+
+func hosts(from, to int) wire.NameSet {
+	var out wire.NameSet
+	for i := from; i < to; i++ {
+		out = append(out, fmt.Sprintf("host-%06d", i*7))
+	}
+	return out
+}
