--- a/internal/core/cluster/cluster.go
+++ b/internal/core/cluster/cluster.go
@@ -85,7 +85,7 @@
 	// Controllers is what each controller has stored of itself, and Word what the
 	// operator has asked for.
 	Controllers map[string]Stored[wire.ControllerRecord]
-	Word        Stored[wire.WordRecord]
+	Word        Stored[wire.OperatorRequest]
 	// ValueBytes is the size of the lease value that this controller wrote
 	// last, without pages.
 	ValueBytes int
@@ -188,11 +188,11 @@
 }
 
 // TellSlots notes the room on a controller's machines.
-func (p *Peer) TellSlots(slots []*peerpb.Slot) {
+func (p *Peer) TellSlots(slots []*peerpb.FreeSlot) {
 	p.Slots = p.Slots[:0]
 	for _, s := range slots {
-		p.Slots = append(p.Slots, Slot{Kind: s.GetType(), Zone: s.GetZone(), Spot: s.GetSpot(), Late: s.GetLate(),
-			Free: sched.Amount{CPUs: s.GetCpus(), Cards: s.GetCards(), MemoryGB: s.GetMemoryGb()}})
+		p.Slots = append(p.Slots, Slot{Kind: s.GetType(), Zone: s.GetZone(), Spot: s.GetSpot(), Late: s.GetOverdueOnly(),
+			Free: sched.Amount{CPUs: s.GetCpus(), Cards: s.GetGpus(), MemoryGB: s.GetMemoryGb()}})
 	}
 }
 
@@ -227,7 +227,7 @@
 		r := v.Controllers[m.Name].Value
 		m.Holder = v.Lease.Blocks[m.Name].Incarnation
 		m.Told = gate.Told{Process: r.Incarnation, Version: r.Version,
-			Levels: gate.Range{Oldest: gate.Level(r.Oldest), Newest: gate.Level(r.Newest)}}
+			Levels: gate.Range{Oldest: gate.Level(r.OldestLevel), Newest: gate.Level(r.NewestLevel)}}
 	}
 	return out
 }
@@ -278,7 +278,7 @@
 
 // SizeOf is the room on a machine of a type.
 func SizeOf(t wire.MachineType) sched.Amount {
-	return sched.Amount{CPUs: t.CPUs, Cards: t.Cards, MemoryGB: t.MemoryGB}
+	return sched.Amount{CPUs: t.CPUs, Cards: t.GPUs, MemoryGB: t.MemoryGB}
 }
 
 // Unlimited tells whether a team has neither a limit nor a guarantee.
@@ -290,7 +290,7 @@
 func Parts(homes map[string]string, team string) []string {
 	var out []string
 	for home := range homes {
-		if wire.IsPart(home, team) {
+		if wire.IsShardOf(home, team) {
 			out = append(out, home)
 		}
 	}
@@ -312,7 +312,7 @@
 func CountHomes(homes map[string]string, team string) map[string]int {
 	count := map[string]int{}
 	for home, node := range homes {
-		if wire.IsHome(home, team) {
+		if wire.IsPartitionOf(home, team) {
 			count[node]++
 		}
 	}
@@ -330,13 +330,13 @@
 	v.Lease, v.Version = rec, version
 	same := func(node string) bool {
 		a, b := before[node], after[node]
-		return slices.Equal(a.Machines, b.Machines) && slices.Equal(a.Old, b.Old)
+		return slices.Equal(a.Machines, b.Machines) && slices.Equal(a.Unreconciled, b.Unreconciled)
 	}
 	for node, b := range before {
 		if same(node) {
 			continue
 		}
-		for _, names := range [][]string{b.Machines, b.Old} {
+		for _, names := range [][]string{b.Machines, b.Unreconciled} {
 			for _, name := range names {
 				delete(v.owners, name)
 			}
@@ -346,7 +346,7 @@
 		if same(node) {
 			continue
 		}
-		for _, names := range [][]string{b.Machines, b.Old} {
+		for _, names := range [][]string{b.Machines, b.Unreconciled} {
 			for _, name := range names {
 				v.owners[name] = node
 			}
@@ -360,7 +360,7 @@
 func (v *View) Needs(homes map[string]string, shares wire.Shares, team string, own map[string]*peerpb.TeamUse, now time.Time) (cpus, cards map[string]share.Need) {
 	cpus, cards = map[string]share.Need{}, map[string]share.Need{}
 	for home, node := range homes {
-		if _, done := cpus[node]; done || !wire.IsHome(home, team) {
+		if _, done := cpus[node]; done || !wire.IsPartitionOf(home, team) {
 			continue
 		}
 		u := own[team]
@@ -373,11 +373,11 @@
 		if u == nil {
 			s := shares[node]
 			cpus[node] = share.Need{Used: float64(s.CPUs), Want: float64(s.CPUs)}
-			cards[node] = share.Need{Used: float64(s.Cards), Want: float64(s.Cards)}
+			cards[node] = share.Need{Used: float64(s.GPUs), Want: float64(s.GPUs)}
 			continue
 		}
-		cpus[node] = share.Need{Used: u.GetCpus(), Want: u.GetWantCpus(), Must: u.GetMustCpus()}
-		cards[node] = share.Need{Used: u.GetCards(), Want: u.GetWantCards(), Must: u.GetMustCards()}
+		cpus[node] = share.Need{Used: u.GetCpus(), Want: u.GetWantCpus(), Must: u.GetMinCpus()}
+		cards[node] = share.Need{Used: u.GetGpus(), Want: u.GetWantGpus(), Must: u.GetMinGpus()}
 	}
 	return cpus, cards
 }
--- a/internal/core/controller/answers_test.go
+++ b/internal/core/controller/answers_test.go
@@ -11,7 +11,7 @@
 // TestUnknownTypesRefuseNothing: while the cloud has not told its machine types, no job
 // fits any, and none may be refused or accepted for that.
 func TestUnknownTypesRefuseNothing(t *testing.T) {
-	c, now := newCore(t, []config.Team{{Name: "free"}}, wire.LeaseRecord{Term: 3, Leader: "n1", Homes: map[string]string{"free": "n1"}})
+	c, now := newCore(t, []config.Team{{Name: "free"}}, wire.LeaseRecord{Term: 3, Leader: "n1", Partitions: map[string]string{"free": "n1"}})
 	clear(c.view.Types)
 	status, retry := 0, 0
 	var handle func(ev step.Event)
@@ -39,7 +39,7 @@
 // bring the job back.
 func TestEndsAreFinal(t *testing.T) {
 	const id = "wk-000001"
-	c, now := newCore(t, []config.Team{{Name: "free"}}, wire.LeaseRecord{Term: 3, Leader: "n1", Homes: map[string]string{"free": "n0"},
+	c, now := newCore(t, []config.Team{{Name: "free"}}, wire.LeaseRecord{Term: 3, Leader: "n1", Partitions: map[string]string{"free": "n0"},
 		Blocks: map[string]wire.Block{"n0": {Grant: 1 << 18, Incarnation: 7}}})
 	raw := func(v any) []byte {
 		b, err := wire.Encode(v)
@@ -93,7 +93,7 @@
 // answer comes. The state has lost nothing.
 func TestRecordComesWhileItIsRead(t *testing.T) {
 	const id = "wk-000001"
-	c, now := newCore(t, []config.Team{{Name: "free"}}, wire.LeaseRecord{Term: 3, Leader: "n1", Homes: map[string]string{"free": "n0"},
+	c, now := newCore(t, []config.Team{{Name: "free"}}, wire.LeaseRecord{Term: 3, Leader: "n1", Partitions: map[string]string{"free": "n0"},
 		Blocks: map[string]wire.Block{"n0": {Grant: 1 << 18, Incarnation: 7}}})
 	job := wire.Job{ID: id, Team: "free", Shape: wire.Array, Priority: "standard", Tasks: 2, CPUs: 1}
 	record, err := wire.Encode(wire.JobRecord{Job: job})
--- a/internal/core/controller/bench_test.go
+++ b/internal/core/controller/bench_test.go
@@ -38,7 +38,7 @@
 	c.stateOK, c.writeSent, c.loaded = now, now, true
 	c.own.Known(5, now)
 	c.view.Types["b8"] = wire.MachineType{Name: "b8", CPUs: 8, MemoryGB: 32, CacheGB: 20, FetchGBPS: 1, Price: 1, SpotPrice: 0.3, BootS: 30, Zones: []string{"x", "y"}}
-	rec := wire.LeaseRecord{Form: 2, Term: 3, Leader: "n0", Incarnation: 7, Homes: map[string]string{"red": "n0"},
+	rec := wire.LeaseRecord{Form: 2, Term: 3, Leader: "n0", Incarnation: 7, Partitions: map[string]string{"red": "n0"},
 		Blocks: map[string]wire.Block{}, Shares: map[string]wire.Shares{"red": {}}}
 	for i := range 5 {
 		node := fmt.Sprintf("n%d", i)
@@ -49,7 +49,7 @@
 			}
 		}
 		rec.Blocks[node] = blk
-		rec.Homes[wire.PartName("red", i+1)] = node
+		rec.Partitions[wire.ShardName("red", i+1)] = node
 		rec.Shares["red"][node] = wire.Share{CPUs: 16000}
 	}
 	// Stored a few machines at a time, as they come up.
@@ -69,18 +69,18 @@
 			blk.Machines = all[:have:have]
 			part.Blocks[node] = blk
 		}
-		part.Beat++
+		part.Sequence++
 		d, err := c.book.Write(&part, c.view.Cfg.ValueLimits())
 		if err != nil {
 			b.Fatal(err)
 		}
 		d.Stored()
 	}
-	rec.Beat = part.Beat
+	rec.Sequence = part.Sequence
 	c.applyLease(rec, 5)
 	for node := range rec.Blocks {
 		if node != "n0" {
-			c.onPeer(&peerpb.Frame{From: node, Incarnation: 7, ReadsForm: 2, Renewal: &peerpb.Renewal{Node: node, Incarnation: 7, Number: 1}})
+			c.onPeer(&peerpb.Frame{From: node, Incarnation: 7, LeaseForm: 2, Renewal: &peerpb.Renewal{Node: node, Incarnation: 7, Number: 1}})
 		}
 	}
 	var list wire.MachineList
@@ -102,9 +102,9 @@
 	for i, name := range c.view.Lease.Blocks["n0"].Machines {
 		if i%25 == 0 {
 			c.applyJob(wire.JobRecord{Job: wire.Job{ID: fmt.Sprintf("wk-%06d", i), Class: "c", Team: "red", Shape: wire.Array, Priority: "standard",
-				Tasks: 150, CPUs: 4, MemoryGB: 4, Spot: true, EstimateS: 60, Image: "img", ImageGB: 1}, Part: wire.PartName("red", 1)}, owner.Stamp{Version: uint64(10 + i)})
+				Tasks: 150, CPUs: 4, MemoryGB: 4, Spot: true, EstimateS: 60, Image: "img", ImageGB: 1}, Shard: wire.ShardName("red", 1)}, owner.Stamp{Version: uint64(10 + i)})
 		}
-		c.own.Report(step.ReportIn{Req: uint64(i), Report: wire.Report{Machine: name, Endpoint: "10.0.0.1:9000", Type: "b8", Zone: "x", Spot: true, Session: 1, Seq: 1}})
+		c.own.Report(step.ReportIn{Req: uint64(i), Report: wire.Heartbeat{Machine: name, Endpoint: "10.0.0.1:9000", Type: "b8", Zone: "x", Spot: true, AgentEpoch: 1, Sequence: 1}})
 	}
 	c.leaseBusy = true
 	return c, now
--- a/internal/core/controller/clear.go
+++ b/internal/core/controller/clear.go
@@ -31,28 +31,28 @@
 	}
 	c.asks++
 	c.askedAt[c.asks%asksKept] = c.loop.Now
-	f.Ask, f.Cancelled = c.asks, c.cancelled
+	f.FreshnessRequest, f.CancelledRevision = c.asks, c.cancelled
 	for _, name := range cluster.SortedKeys(c.view.Peers) {
 		if p := c.view.Peers[name]; p.Asked > 0 {
-			f.Echoes = append(f.Echoes, &peerpb.Echo{To: name, Process: p.Process, Ask: p.Asked})
+			f.FreshnessReplies = append(f.FreshnessReplies, &peerpb.FreshnessReply{To: name, Process: p.Process, Request: p.Asked})
 		}
 	}
 }
 
 // answered takes in what a frame says of cancellations.
 func (c *Core) answered(p *cluster.Peer, f *peerpb.Frame) {
-	if f.GetAsk() > 0 {
-		p.Asked = f.GetAsk()
+	if f.GetFreshnessRequest() > 0 {
+		p.Asked = f.GetFreshnessRequest()
 	}
-	if !c.loaded || c.recovery != nil || f.GetLost() || f.GetGeneration() != c.generation() ||
-		f.GetCancelled() == 0 || f.GetCancelled() > c.rev {
+	if !c.loaded || c.recovery != nil || f.GetStateLost() || f.GetGeneration() != c.generation() ||
+		f.GetCancelledRevision() == 0 || f.GetCancelledRevision() > c.rev {
 		return
 	}
-	for _, e := range f.GetEchoes() {
-		if e.GetTo() != c.view.Me || e.GetProcess() != c.hold.Incarnation() || e.GetAsk() > c.asks || e.GetAsk()+asksKept <= c.asks {
+	for _, e := range f.GetFreshnessReplies() {
+		if e.GetTo() != c.view.Me || e.GetProcess() != c.hold.Incarnation() || e.GetRequest() > c.asks || e.GetRequest()+asksKept <= c.asks {
 			continue
 		}
-		if at := c.askedAt[e.GetAsk()%asksKept]; at.After(p.Clear) {
+		if at := c.askedAt[e.GetRequest()%asksKept]; at.After(p.Clear) {
 			p.Clear = at
 		}
 	}
--- a/internal/core/controller/controller.go
+++ b/internal/core/controller/controller.go
@@ -177,7 +177,7 @@
 
 // Homes names the controller of every home, as the lease value last read does.
 // The map is not to be changed.
-func (c *Core) Homes() map[string]string { return c.view.Lease.Homes }
+func (c *Core) Homes() map[string]string { return c.view.Lease.Partitions }
 
 // Holds tells how many machines are in this controller's block.
 func (c *Core) Holds() int { return c.own.Holds() }
@@ -255,10 +255,10 @@
 	c.room = c.own.Room()
 	c.room.Size = size
 	f.FreeCpus, f.ImageCpus, f.SizeCpus = c.room.Free, c.room.Images, size
-	f.Slots = c.own.Slots()
+	f.FreeSlots = c.own.Slots()
 	f.Progress = c.own.News()
-	f.NoReports = c.own.Unreported()
-	f.Guests = c.own.GuestsOf()
+	f.NoHeartbeats = c.own.Unreported()
+	f.ForeignWorkers = c.own.GuestsOf()
 	c.askAll(f)
 	for _, name := range cluster.SortedKeys(c.view.Peers) {
 		c.loop.Emit(step.PeerSend{To: name, Frame: f})
@@ -268,11 +268,11 @@
 // frame is the beginning of every message to another controller.
 func (c *Core) frame() *peerpb.Frame {
 	f := &peerpb.Frame{From: c.view.Me, Incarnation: c.hold.Incarnation(), StateOk: c.reachable(),
-		ReadsForm: leasevalue.FormPages}
+		LeaseForm: leasevalue.FormPages}
 	c.tellGeneration(f)
 	if c.view.Par.Levels.Gated() {
 		f.Form, f.NewestLevel, f.SeenLevel = frameForm, uint32(c.view.Par.Levels.Newest), c.view.Lease.Level
-		f.FollowsRaised, f.FollowsMoves = true, true
+		f.AcceptsRaisedTokens, f.AcceptsJobMoves = true, true
 	}
 	return f
 }
@@ -299,21 +299,21 @@
 		c.own.TellAnew()
 	}
 	p.Process, p.Seen = f.GetIncarnation(), gate.Level(f.GetSeenLevel())
-	p.Generation, p.Lost, p.Restored, p.Revision = f.GetGeneration(), f.GetLost(), f.GetRestored(), f.GetRevision()
+	p.Generation, p.Lost, p.Restored, p.Revision = f.GetGeneration(), f.GetStateLost(), f.GetStateRestored(), f.GetRevision()
 	if f.GetStateOk() && (!p.StateOK || c.loop.Now.Sub(p.Heard) > cluster.LinkDead) {
 		p.OKSince = c.loop.Now
 	}
-	p.Heard, p.StateOK, p.Form, p.FollowsRaised = c.loop.Now, f.GetStateOk(), f.GetReadsForm(), f.GetFollowsRaised()
+	p.Heard, p.StateOK, p.Form, p.FollowsRaised = c.loop.Now, f.GetStateOk(), f.GetLeaseForm(), f.GetAcceptsRaisedTokens()
 	if f.GetRenewal() == nil {
 		p.Spare = f.GetSpareCpus()
 	}
 	if f.GetImageCpus() != nil {
 		p.Room = cluster.Room{Free: f.GetFreeCpus(), Size: f.GetSizeCpus(), Images: f.GetImageCpus()}
 	}
-	p.FollowsMoves = f.GetFollowsMoves()
+	p.FollowsMoves = f.GetAcceptsJobMoves()
 	if f.GetRenewal() == nil {
-		p.TellSlots(f.GetSlots())
-		p.NoReports, p.Guests = f.GetNoReports(), int(f.GetGuests()[c.view.Me])
+		p.TellSlots(f.GetFreeSlots())
+		p.NoReports, p.Guests = f.GetNoHeartbeats(), int(f.GetForeignWorkers()[c.view.Me])
 	}
 	p.Tell(f.GetTeams())
 	c.answered(p, f)
@@ -322,9 +322,9 @@
 			j.Hear(int(g.GetDone()), int(g.GetRunning()))
 		}
 	}
-	c.own.Meet(f.GetKnown())
+	c.own.Meet(f.GetKnownMachines())
 	if r := f.GetRenewal(); r != nil && r.GetNode() == f.GetFrom() {
 		c.onRenewal(r)
 	}
-	c.heardOfLoss(p, f.GetView())
+	c.heardOfLoss(p, f.GetRecoveryView())
 }
--- a/internal/core/controller/controller_test.go
+++ b/internal/core/controller/controller_test.go
@@ -40,7 +40,7 @@
 // their blocks in that moment.
 func TestOutageIsNotTakenForRefusal(t *testing.T) {
 	c, start := newCore(t, []config.Team{{Name: "free"}}, wire.LeaseRecord{Term: 3, Leader: "n1",
-		Blocks: map[string]wire.Block{"n0": {Grant: 1 << 18, Incarnation: 7}}, Homes: map[string]string{"free": "n0"}})
+		Blocks: map[string]wire.Block{"n0": {Grant: 1 << 18, Incarnation: 7}}, Partitions: map[string]string{"free": "n0"}})
 	c.stateOK = start
 	for ms := 500; ms <= 16000; ms += 500 {
 		c.Step(start.Add(time.Duration(ms)*time.Millisecond), step.PeerIn{Frame: &peerpb.Frame{From: "n1", StateOk: ms < 4000 || ms > 10000}})
@@ -56,8 +56,8 @@
 // elsewhere.
 func TestJobsAreFiledEvenly(t *testing.T) {
 	core, _ := newCore(t, []config.Team{{Name: "free"}}, wire.LeaseRecord{Term: 3, Leader: "n1",
-		Homes:  map[string]string{"free": "n0", "free #1": "n0", "free #2": "n1"},
-		Blocks: map[string]wire.Block{"n0": {Grant: 1 << 18, Incarnation: 7}, "n1": {Grant: 1<<18 + 1, Incarnation: 9}}})
+		Partitions: map[string]string{"free": "n0", "free #1": "n0", "free #2": "n1"},
+		Blocks:     map[string]wire.Block{"n0": {Grant: 1 << 18, Incarnation: 7}, "n1": {Grant: 1<<18 + 1, Incarnation: 9}}})
 	job := func(priority, image string) *wire.Job {
 		return &wire.Job{ID: "wk-000001", Team: "free", Shape: wire.Array, Priority: priority, Tasks: 10, CPUs: 2, Image: image}
 	}
@@ -140,7 +140,7 @@
 			c.Step(now.Add(time.Duration(ms)*time.Millisecond), step.Tick{})
 		}
 		c.Step(now.Add(20*time.Second), step.Tick{})
-		if lost := c.Renewal().GetLost() != ""; lost != awake {
+		if lost := c.Renewal().GetSilentMachines() != ""; lost != awake {
 			t.Errorf("awake: %v, its machine is lost: %v", awake, lost)
 		}
 	}
--- a/internal/core/controller/homes.go
+++ b/internal/core/controller/homes.go
@@ -31,10 +31,10 @@
 // beyond the mean. It returns "" when the team has one home.
 func (c *Core) fileUnder(j *wire.Job) string {
 	best, bestWorth, bestSpare := "", 0.0, 0.0
-	own := cluster.Parts(c.view.Lease.Homes, j.Team)
+	own := cluster.Parts(c.view.Lease.Partitions, j.Team)
 	mean := c.meanSize(own)
 	for _, part := range own {
-		node := c.view.Lease.Homes[part]
+		node := c.view.Lease.Partitions[part]
 		spare, r := c.spare, &c.room
 		if node != c.view.Me {
 			if !c.view.LinkUp(node, c.loop.Now) {
@@ -54,7 +54,7 @@
 	}
 	// Until the controller tells its new figures the job counts against them.
 	if cpus := float64(j.Tasks) * j.CPUs; best == "" {
-	} else if node := c.view.Lease.Homes[best]; node == c.view.Me {
+	} else if node := c.view.Lease.Partitions[best]; node == c.view.Me {
 		c.spare -= cpus
 		c.room.Take(j)
 	} else {
@@ -70,7 +70,7 @@
 	seen := map[string]bool{}
 	sum := 0.0
 	for _, part := range own {
-		node := c.view.Lease.Homes[part]
+		node := c.view.Lease.Partitions[part]
 		switch {
 		case seen[node]:
 		case node == c.view.Me:
--- a/internal/core/controller/jobs.go
+++ b/internal/core/controller/jobs.go
@@ -161,7 +161,7 @@
 			c.log.Error("job record", "key", key, "err", err)
 			return
 		}
-		c.applyJob(rec, owner.Stamp{Version: version, Born: env.Born, Form: env.Form})
+		c.applyJob(rec, owner.Stamp{Version: version, Born: env.FirstVersion, Form: env.Form})
 	case strings.HasPrefix(key, endPrefix):
 		var rec wire.EndRecord
 		err := wire.Decode(value, &rec)
@@ -243,8 +243,8 @@
 
 // Basis are the conditions under which the lease value is as this controller knows it,
 // of the generation that it knows.
-func (c *Core) Basis() []wire.Cond {
-	return []wire.Cond{{Key: leaseKey, Version: c.view.Version}, {Key: genKey, Version: c.gen.Version}}
+func (c *Core) Basis() []wire.Condition {
+	return []wire.Condition{{Key: leaseKey, Version: c.view.Version}, {Key: genKey, Version: c.gen.Version}}
 }
 
 // Users tells how many submissions are being stored, and when one last found no
@@ -262,7 +262,7 @@
 		rec.Form = wire.EndForm
 	}
 	txn := wire.Txn{
-		If:   []wire.Cond{{Key: jobPrefix + id, Version: j.Version}, {Key: endPrefix + id}},
+		If:   []wire.Condition{{Key: jobPrefix + id, Version: j.Version}, {Key: endPrefix + id}},
 		Then: []wire.Op{{Delete: jobPrefix + id}, {Put: endPrefix + id, Value: rec}},
 	}
 	j.Writing = true
@@ -529,12 +529,12 @@
 
 // conditions says what is known here of the jobs that are asked about, and which of
 // them are known.
-func (c *Core) conditions(batch []question) (conds []wire.Cond, known map[string]bool) {
-	conds, known = make([]wire.Cond, 0, 2*len(batch)+1), make(map[string]bool, len(batch))
+func (c *Core) conditions(batch []question) (conds []wire.Condition, known map[string]bool) {
+	conds, known = make([]wire.Condition, 0, 2*len(batch)+1), make(map[string]bool, len(batch))
 	// The generation is part of the compare: one who was cut off while the state lost
 	// data need not see it by the revision, which has gone on since from below.
 	if c.view.Par.Levels.Gated() {
-		conds = append(conds, wire.Cond{Key: genKey, Version: c.gen.Version})
+		conds = append(conds, wire.Condition{Key: genKey, Version: c.gen.Version})
 	}
 	for _, q := range batch {
 		if _, ok := known[q.id]; ok {
@@ -542,9 +542,9 @@
 		}
 		j := c.own.Job(q.id)
 		if known[q.id] = j != nil && !j.Over; known[q.id] {
-			conds = append(conds, wire.Cond{Key: jobPrefix + q.id, Version: j.Version})
+			conds = append(conds, wire.Condition{Key: jobPrefix + q.id, Version: j.Version})
 		} else {
-			conds = append(conds, wire.Cond{Key: jobPrefix + q.id}, wire.Cond{Key: endPrefix + q.id})
+			conds = append(conds, wire.Condition{Key: jobPrefix + q.id}, wire.Condition{Key: endPrefix + q.id})
 		}
 	}
 	return conds, known
@@ -663,7 +663,7 @@
 		return 422, "unknown team"
 	}
 	team := c.view.LimitOf(j.Team)
-	need := sched.Amount{CPUs: j.CPUs, Cards: j.Cards, MemoryGB: j.MemoryGB}
+	need := sched.Amount{CPUs: j.CPUs, Cards: j.GPUs, MemoryGB: j.MemoryGB}
 	fits := false
 	for name, t := range c.view.Types {
 		if (len(j.Types) == 0 || slices.Contains(j.Types, name)) &&
@@ -720,10 +720,10 @@
 		c.loop.Unavailable(e.Req)
 		return
 	}
-	rec := wire.JobRecord{Job: e.Job, Part: c.fileUnder(&e.Job), AtMs: c.loop.Now.UnixMilli()}
+	rec := wire.JobRecord{Job: e.Job, Shard: c.fileUnder(&e.Job), SubmittedAtMs: c.loop.Now.UnixMilli()}
 	rec.Owner = c.homeOf(rec.Team)
-	if rec.Part != "" {
-		rec.Owner = c.homeOf(rec.Part)
+	if rec.Shard != "" {
+		rec.Owner = c.homeOf(rec.Shard)
 	}
 	c.store(e.Req, rec, c.view.Open(gate.Envelope))
 }
@@ -760,7 +760,7 @@
 	c.own.Tally.Came(&rec.Job)
 	c.loop.Emit(step.StateTxn{
 		Txn: wire.Txn{
-			If:   []wire.Cond{{Key: jobPrefix + id}, {Key: endPrefix + id}},
+			If:   []wire.Condition{{Key: jobPrefix + id}, {Key: endPrefix + id}},
 			Then: []wire.Op{{Put: jobPrefix + id, Value: value}},
 		},
 		ID: c.loop.Call(func(d step.Completed) {
@@ -815,4 +815,4 @@
 // Ended tells whether a job is known to be over.
 func (c *Core) Ended(id string) bool { _, ok := c.ended[id]; return ok }
 
-func (c *Core) homeOf(team string) string { return c.view.Lease.Homes[team] }
+func (c *Core) homeOf(team string) string { return c.view.Lease.Partitions[team] }
--- a/internal/core/controller/lead.go
+++ b/internal/core/controller/lead.go
@@ -61,7 +61,7 @@
 	}
 	c.view.Peers[r.GetNode()].Tell(r.GetTeams())
 	c.tellKnown(r)
-	c.log.Debug("renewal", "node", r.GetNode(), "number", r.GetNumber(), "heard", len(r.GetHeard()), "demand", len(r.GetDemand()))
+	c.log.Debug("renewal", "node", r.GetNode(), "number", r.GetNumber(), "heard", len(r.GetReconciled()), "demand", len(r.GetDemand()))
 	c.leadTick()
 }
 
@@ -90,8 +90,8 @@
 
 // tellKnown tells a controller how to reach machines of its block.
 func (c *Core) tellKnown(r *peerpb.Renewal) {
-	var known []*peerpb.Seen
-	names, err := wire.UnpackNames(r.GetUnknown())
+	var known []*peerpb.MachineInfo
+	names, err := wire.UnpackNames(r.GetUnknownEndpoints())
 	if err != nil {
 		c.log.Error("names in a renewal", "err", err)
 	}
@@ -102,7 +102,7 @@
 	}
 	if len(known) > 0 {
 		f := c.frame()
-		f.SpareCpus, f.Known = c.spare, known
+		f.SpareCpus, f.KnownMachines = c.spare, known
 		c.loop.Emit(step.PeerSend{To: r.GetNode(), Frame: f})
 	}
 }
--- a/internal/core/controller/lease.go
+++ b/internal/core/controller/lease.go
@@ -339,16 +339,16 @@
 // trim shortens a renewal to a size. What is left out comes with a later one,
 // once the leader has acted on the first part.
 func trim(r *peerpb.Renewal, most int) {
-	r.Unknown = "" // would be answered on the link that is down
+	r.UnknownEndpoints = "" // would be answered on the link that is down
 	for proto.Size(r) > most {
-		use, seen, demand := 12*len(r.Use), 50*len(r.Seen), 36*len(r.Demand)
+		use, seen, demand := 12*len(r.MachineUse), 50*len(r.KnownMachines), 36*len(r.Demand)
 		switch {
 		case use+seen+demand == 0:
 			return
 		case seen >= use && seen >= demand:
-			r.Seen = r.Seen[:len(r.Seen)/2]
+			r.KnownMachines = r.KnownMachines[:len(r.KnownMachines)/2]
 		case use >= demand:
-			r.Use = r.Use[:len(r.Use)/2]
+			r.MachineUse = r.MachineUse[:len(r.MachineUse)/2]
 		default:
 			r.Demand = r.Demand[:len(r.Demand)/2]
 		}
@@ -405,7 +405,7 @@
 	rec := c.view.Lease.Clone()
 	rec.Term++
 	rec.Leader, rec.Incarnation = c.view.Me, c.hold.Incarnation()
-	rec.Beat++
+	rec.Sequence++
 	leader.Regrant(&rec, c.view.Me, c.hold.Incarnation())
 	c.writeLease(rec, func() {})
 }
--- a/internal/core/controller/level.go
+++ b/internal/core/controller/level.go
@@ -80,13 +80,13 @@
 // controller's record, and the operator's word, must be those that the leader
 // decided by. A controller that has been replaced meanwhile stops the raise,
 // however late the write arrives.
-func (c *Core) raiseConds(rec *wire.LeaseRecord) []wire.Cond {
+func (c *Core) raiseConds(rec *wire.LeaseRecord) []wire.Condition {
 	if rec.Level == c.view.Lease.Level && rec.Confirmed == c.view.Lease.Confirmed {
 		return nil
 	}
-	conds := []wire.Cond{{Key: WordKey, Version: c.view.Word.Version}, {Key: NodePrefix + c.view.Me, Version: c.view.Controllers[c.view.Me].Version}}
+	conds := []wire.Condition{{Key: WordKey, Version: c.view.Word.Version}, {Key: NodePrefix + c.view.Me, Version: c.view.Controllers[c.view.Me].Version}}
 	for _, name := range cluster.SortedKeys(c.view.Peers) {
-		conds = append(conds, wire.Cond{Key: NodePrefix + name, Version: c.view.Controllers[name].Version})
+		conds = append(conds, wire.Condition{Key: NodePrefix + name, Version: c.view.Controllers[name].Version})
 	}
 	return conds
 }
@@ -97,7 +97,7 @@
 		return
 	}
 	if key == WordKey {
-		c.view.Word = keep(c, c.view.Word, key, value, version, func(w wire.WordRecord) int { return w.Form })
+		c.view.Word = keep(c, c.view.Word, key, value, version, func(w wire.OperatorRequest) int { return w.Form })
 	} else if name, ok := strings.CutPrefix(key, NodePrefix); ok {
 		c.view.Controllers[name] = keep(c, c.view.Controllers[name], key, value, version, func(r wire.ControllerRecord) int { return r.Form })
 	}
@@ -152,12 +152,12 @@
 // users are short: in a troubled minute it changes all the time, and every write
 // is one less for them.
 func (c *Core) worthTelling(rec, old *wire.ControllerRecord) bool {
-	if rec.Incarnation != old.Incarnation || rec.Version != old.Version || rec.Oldest != old.Oldest || rec.Newest != old.Newest ||
-		rec.Seen != old.Seen {
+	if rec.Incarnation != old.Incarnation || rec.Version != old.Version || rec.OldestLevel != old.OldestLevel || rec.NewestLevel != old.NewestLevel ||
+		rec.SeenLevel != old.SeenLevel {
 		return true
 	}
-	changed := rec.Ready != old.Ready || rec.Unheard != old.Unheard || rec.Left != old.Left || !slices.Equal(rec.Waits, old.Waits)
-	return changed && c.loop.Now.Sub(time.UnixMilli(old.AtMs)) >= leftGap &&
+	changed := rec.Ready != old.Ready || rec.UnreconciledMachines != old.UnreconciledMachines || rec.OutdatedRecords != old.OutdatedRecords || !slices.Equal(rec.LevelBlockers, old.LevelBlockers)
+	return changed && c.loop.Now.Sub(time.UnixMilli(old.UpdatedAtMs)) >= leftGap &&
 		c.userWrites == 0 && c.loop.Now.Sub(c.usersShort) >= leftGap
 }
 
@@ -178,19 +178,19 @@
 	c.level.next = c.loop.Now.Add(tellGap)
 	stored := c.view.Controllers[c.view.Me]
 	rec := wire.ControllerRecord{Form: wire.ControllerForm, Incarnation: c.hold.Incarnation(), Version: c.view.Par.Version,
-		Oldest: uint32(c.view.Par.Levels.Oldest), Newest: uint32(c.view.Par.Levels.Newest), Seen: c.view.Lease.Level,
-		Ready: c.Healthy(), Unheard: c.own.Unheard(), Left: c.own.Left()}
+		OldestLevel: uint32(c.view.Par.Levels.Oldest), NewestLevel: uint32(c.view.Par.Levels.Newest), SeenLevel: c.view.Lease.Level,
+		Ready: c.Healthy(), UnreconciledMachines: c.own.Unheard(), OutdatedRecords: c.own.Left()}
 	if c.lead != nil {
-		rec.Waits = c.lead.Waits()
+		rec.LevelBlockers = c.lead.Waits()
 	}
 	if !c.worthTelling(&rec, &stored.Value) {
 		return
 	}
-	rec.AtMs = c.loop.Now.UnixMilli()
+	rec.UpdatedAtMs = c.loop.Now.UnixMilli()
 	c.level.busy = true
 	key := NodePrefix + c.view.Me
 	c.loop.Emit(step.StateTxn{
-		Txn: wire.Txn{If: []wire.Cond{{Key: key, Version: stored.Version}}, Then: []wire.Op{{Put: key, Value: rec}}},
+		Txn: wire.Txn{If: []wire.Condition{{Key: key, Version: stored.Version}}, Then: []wire.Op{{Put: key, Value: rec}}},
 		ID: c.loop.Call(func(d step.Completed) {
 			c.level.busy = false
 			switch d.Status {
--- a/internal/core/controller/level_test.go
+++ b/internal/core/controller/level_test.go
@@ -16,7 +16,7 @@
 // levelled is a lease value of n0 at a level.
 func levelled(level, confirmed gate.Level) wire.LeaseRecord {
 	return wire.LeaseRecord{Form: leasevalue.Form, Level: uint32(level), Confirmed: uint32(confirmed), Generation: 3, Term: 3, Leader: "n0", Incarnation: 7,
-		Blocks: map[string]wire.Block{"n0": {Grant: 1 << 18, Incarnation: 7, Renewal: 1}}, Homes: map[string]string{"free": "n0"}}
+		Blocks: map[string]wire.Block{"n0": {Grant: 1 << 18, Incarnation: 7, Renewal: 1}}, Partitions: map[string]string{"free": "n0"}}
 }
 
 // txns are the transactions among effects that put a key.
@@ -40,7 +40,7 @@
 	for _, raise := range []bool{false, true} {
 		c.loop.Begin(c.loop.Now.Add(time.Second))
 		rec := c.view.Lease.Clone()
-		rec.Beat++
+		rec.Sequence++
 		if raise {
 			rec.Level++
 		}
@@ -49,9 +49,9 @@
 		if len(out) != 1 {
 			t.Fatalf("%d writes", len(out))
 		}
-		want := []wire.Cond{{Key: leaseKey, Version: 5}, {Key: genKey}}
+		want := []wire.Condition{{Key: leaseKey, Version: 5}, {Key: genKey}}
 		if raise {
-			want = append(want, wire.Cond{Key: WordKey, Version: 13}, wire.Cond{Key: NodePrefix + "n0", Version: 11}, wire.Cond{Key: NodePrefix + "n1", Version: 12})
+			want = append(want, wire.Condition{Key: WordKey, Version: 13}, wire.Condition{Key: NodePrefix + "n0", Version: 11}, wire.Condition{Key: NodePrefix + "n1", Version: 12})
 		}
 		if !slices.Equal(out[0].Txn.If, want) {
 			t.Errorf("raise %v: conditions %v", raise, out[0].Txn.If)
--- a/internal/core/controller/meeting_test.go
+++ b/internal/core/controller/meeting_test.go
@@ -77,7 +77,7 @@
 // to start until a lease after that was sent, so the leader may not count the lease
 // from the last write that was answered.
 func TestRenewalsOfALateWriteCount(t *testing.T) {
-	rec := wire.LeaseRecord{Term: 3, Leader: "n0", Incarnation: 7, Homes: map[string]string{"free": "n0"},
+	rec := wire.LeaseRecord{Term: 3, Leader: "n0", Incarnation: 7, Partitions: map[string]string{"free": "n0"},
 		Blocks: map[string]wire.Block{"n0": {Grant: 3 << 16, Incarnation: 7}, "n1": {Grant: 3<<16 + 1, Incarnation: 9, Renewal: 1, Machines: []string{"host-000001"}}}}
 	c, start := newCore(t, []config.Team{{Name: "free"}}, rec)
 	k := &keeper{c: c, now: start, lease: c.view.Lease, rev: 5}
@@ -181,7 +181,7 @@
 	}{{0, 200}, {config.Seconds(w.CancelS - w.LeaseS), 503}} {
 		now = maxTime(now, asked.Add(x.after))
 		status := 0
-		for _, e := range c.Step(now, step.ReportIn{Req: 1, Report: wire.Report{Machine: "host-000001", Type: "s4", Session: 1, Seq: 1 + uint64(x.after)}}) {
+		for _, e := range c.Step(now, step.ReportIn{Req: 1, Report: wire.Heartbeat{Machine: "host-000001", Type: "s4", AgentEpoch: 1, Sequence: 1 + uint64(x.after)}}) {
 			if r, ok := e.(step.Reply); ok {
 				status = r.Status
 			}
@@ -223,15 +223,15 @@
 		"a question for an impossible id":  {step.PollIn{Req: 1, ID: "no/such id"}, 404, 404},
 		"a question for an unknown id":     {step.PollIn{Req: 1, ID: "wk-000009"}, 404, 503},
 		"a cancellation of an unknown job": {step.CancelIn{Req: 1, ID: "wk-000009"}, 404, 503},
-		"a report without a machine":       {step.ReportIn{Req: 1, Report: wire.Report{Session: 1}}, 400, 400},
-		"a report without a session":       {step.ReportIn{Req: 1, Report: wire.Report{Machine: "host-000001"}}, 400, 400},
-		"a report of tasks with bad names": {step.ReportIn{Req: 1, Report: wire.Report{Machine: "host-000001", Session: 1, Seq: 1, Token: 1 << 42,
-			Tasks: []wire.TaskReport{{Task: "wk-000001"}, {Task: "wk-000001/-1"}, {Task: "/"}, {Task: "wk-000001/99999999999999999999"}}}}, 200, 200},
+		"a report without a machine":       {step.ReportIn{Req: 1, Report: wire.Heartbeat{AgentEpoch: 1}}, 400, 400},
+		"a report without a session":       {step.ReportIn{Req: 1, Report: wire.Heartbeat{Machine: "host-000001"}}, 400, 400},
+		"a report of tasks with bad names": {step.ReportIn{Req: 1, Report: wire.Heartbeat{Machine: "host-000001", AgentEpoch: 1, Sequence: 1, Token: 1 << 42,
+			Tasks: []wire.TaskStatus{{Task: "wk-000001"}, {Task: "wk-000001/-1"}, {Task: "/"}, {Task: "wk-000001/99999999999999999999"}}}}, 200, 200},
 		"a frame of nobody":                {step.PeerIn{Frame: &peerpb.Frame{From: "n9"}}, 0, 0},
-		"a frame with names that are none": {step.PeerIn{Frame: &peerpb.Frame{From: "n1", Renewal: &peerpb.Renewal{Node: "n1", Incarnation: 9, Number: 7, Gave: "?", Lost: "?", Heard: "?", Unknown: "?"}}}, 0, 0},
-		"a frame with a view that is none": {step.PeerIn{Frame: &peerpb.Frame{From: "n1", View: []byte{0xc1}}}, 0, 0},
-		"an echo that nobody asked for":    {step.PeerIn{Frame: &peerpb.Frame{From: "n1", Cancelled: 1, Ask: 1 << 60, Echoes: []*peerpb.Echo{{To: "n0", Process: 7, Ask: 1 << 60}}}}, 0, 0},
-		"an answer to no call":             {step.Completed{ID: 1 << 40, Status: 200, Report: &wire.Report{}}, 0, 0},
+		"a frame with names that are none": {step.PeerIn{Frame: &peerpb.Frame{From: "n1", Renewal: &peerpb.Renewal{Node: "n1", Incarnation: 9, Number: 7, Released: "?", SilentMachines: "?", Reconciled: "?", UnknownEndpoints: "?"}}}, 0, 0},
+		"a frame with a view that is none": {step.PeerIn{Frame: &peerpb.Frame{From: "n1", RecoveryView: []byte{0xc1}}}, 0, 0},
+		"an echo that nobody asked for":    {step.PeerIn{Frame: &peerpb.Frame{From: "n1", CancelledRevision: 1, FreshnessRequest: 1 << 60, FreshnessReplies: []*peerpb.FreshnessReply{{To: "n0", Process: 7, Request: 1 << 60}}}}, 0, 0},
+		"an answer to no call":             {step.Completed{ID: 1 << 40, Status: 200, Report: &wire.Heartbeat{}}, 0, 0},
 		"a stored job that cannot be read": {put(jobPrefix+"wk-000009", []byte{0xc1}), 0, 0},
 		"a stored job under another's key": {put(jobPrefix+"wk-000009", raw(wire.JobRecord{Job: wire.Job{ID: "wk-000008"}})), 0, 0},
 		"a stored end that cannot be read": {put(endPrefix+"wk-000009", []byte{0xc1}), 0, 0},
@@ -241,7 +241,7 @@
 		"a level that is none":             {put(WordKey, []byte{0xc1}), 0, 0},
 	} {
 		for _, away := range []bool{false, true} {
-			c0, start := newCore(t, []config.Team{{Name: "free"}}, wire.LeaseRecord{Term: 3, Leader: "n0", Incarnation: 7, Homes: map[string]string{"free": "n0"},
+			c0, start := newCore(t, []config.Team{{Name: "free"}}, wire.LeaseRecord{Term: 3, Leader: "n0", Incarnation: 7, Partitions: map[string]string{"free": "n0"},
 				Blocks: map[string]wire.Block{"n0": {Grant: 1 << 18, Incarnation: 7, Machines: []string{"host-000001"}}}})
 			want, now, watch := c.well, start, uint64(0)
 			if away {
@@ -296,15 +296,15 @@
 	}{
 		"all say so":                      {func(*peerpb.Frame) {}, true, true},
 		"one was never heard":             {func(*peerpb.Frame) {}, false, false},
-		"a cancellation unknown here":     {func(f *peerpb.Frame) { f.Cancelled = 8 }, true, false},
-		"just started":                    {func(f *peerpb.Frame) { f.Cancelled = 0 }, true, false},
+		"a cancellation unknown here":     {func(f *peerpb.Frame) { f.CancelledRevision = 8 }, true, false},
+		"just started":                    {func(f *peerpb.Frame) { f.CancelledRevision = 0 }, true, false},
 		"state of another generation":     {func(f *peerpb.Frame) { f.Generation = 2 }, true, false},
-		"has found that data is lost":     {func(f *peerpb.Frame) { f.Lost = true }, true, false},
-		"answers an earlier process":      {func(f *peerpb.Frame) { f.Echoes[0].Process-- }, true, false},
-		"answers somebody else":           {func(f *peerpb.Frame) { f.Echoes[0].To = "n3" }, true, false},
-		"answers what was asked long ago": {func(f *peerpb.Frame) { f.Echoes[0].Ask -= asksKept }, true, false},
-		"answers what was never asked":    {func(f *peerpb.Frame) { f.Echoes[0].Ask++ }, true, false},
-		"of an earlier version":           {func(f *peerpb.Frame) { f.Echoes = nil }, true, false},
+		"has found that data is lost":     {func(f *peerpb.Frame) { f.StateLost = true }, true, false},
+		"answers an earlier process":      {func(f *peerpb.Frame) { f.FreshnessReplies[0].Process-- }, true, false},
+		"answers somebody else":           {func(f *peerpb.Frame) { f.FreshnessReplies[0].To = "n3" }, true, false},
+		"answers what was asked long ago": {func(f *peerpb.Frame) { f.FreshnessReplies[0].Request -= asksKept }, true, false},
+		"answers what was never asked":    {func(f *peerpb.Frame) { f.FreshnessReplies[0].Request++ }, true, false},
+		"of an earlier version":           {func(f *peerpb.Frame) { f.FreshnessReplies = nil }, true, false},
 	} {
 		c0, start := newCore(t, []config.Team{{Name: "free"}}, wire.LeaseRecord{})
 		s := *c0.view.Cfg
@@ -318,7 +318,7 @@
 			now = now.Add(time.Second)
 			for _, e := range core.Step(now, step.Tick{}) {
 				if p, ok := e.(step.PeerSend); ok {
-					ask = max(ask, p.Frame.Ask)
+					ask = max(ask, p.Frame.FreshnessRequest)
 				}
 			}
 		}
@@ -327,14 +327,14 @@
 			if from == "n2" && !c.all {
 				continue
 			}
-			f := &peerpb.Frame{From: from, Incarnation: 9, Generation: 1, Cancelled: 7, Echoes: []*peerpb.Echo{{To: "n0", Process: 7, Ask: ask}}}
+			f := &peerpb.Frame{From: from, Incarnation: 9, Generation: 1, CancelledRevision: 7, FreshnessReplies: []*peerpb.FreshnessReply{{To: "n0", Process: 7, Request: ask}}}
 			c.change(f)
 			core.Step(now.Add(5*time.Second), step.PeerIn{Frame: f})
 		}
 		// Twenty seconds after the ask, less the margins, counted from the ask.
 		for _, after := range []time.Duration{18 * time.Second, 20 * time.Second} {
 			status, want := 0, c.clear && after < 19*time.Second
-			for _, e := range core.Step(asked.Add(after), step.ReportIn{Req: 1, Report: wire.Report{Machine: "host-000001", Type: "s4", Session: 1, Seq: uint64(after)}}) {
+			for _, e := range core.Step(asked.Add(after), step.ReportIn{Req: 1, Report: wire.Heartbeat{Machine: "host-000001", Type: "s4", AgentEpoch: 1, Sequence: uint64(after)}}) {
 				if r, ok := e.(step.Reply); ok {
 					status = r.Status
 				}
@@ -374,7 +374,7 @@
 			}
 		}
 		if c.later {
-			core.applyLease(wire.LeaseRecord{Term: 3, Leader: "n1", Beat: 1}, 6)
+			core.applyLease(wire.LeaseRecord{Term: 3, Leader: "n1", Sequence: 1}, 6)
 		}
 		raw, err := wire.Encode(wire.LeaseRecord{Term: 3, Leader: "n1"})
 		if err != nil {
--- a/internal/core/controller/recover.go
+++ b/internal/core/controller/recover.go
@@ -64,13 +64,13 @@
 	}
 	f.Generation = c.generation()
 	if r := c.recovery; r != nil {
-		f.Generation, f.Lost, f.Restored = r.gen, true, r.restored
+		f.Generation, f.StateLost, f.StateRestored = r.gen, true, r.restored
 		v := c.leases()
 		raw, err := wire.Encode(v)
 		if err != nil {
 			c.log.Error("view of the leases", "err", err)
 		}
-		f.View = raw
+		f.RecoveryView = raw
 		return
 	}
 	f.Revision = c.high
@@ -355,7 +355,7 @@
 func (c *Core) mark(version uint64, then func()) {
 	g := rebuild.Generation{Form: rebuild.GenerationForm, Generation: c.recovery.gen, Rebuilding: true, By: c.view.Me, AtMs: c.loop.Now.UnixMilli()}
 	c.loop.Emit(step.StateTxn{Control: true, ID: c.loop.Call(func(step.Completed) { then() }),
-		Txn: wire.Txn{If: []wire.Cond{{Key: genKey, Version: version}}, Then: []wire.Op{{Put: genKey, Value: g}}}})
+		Txn: wire.Txn{If: []wire.Condition{{Key: genKey, Version: version}}, Then: []wire.Op{{Put: genKey, Value: g}}}})
 }
 
 // mayAdd tells whether records may come into a state that others work with already:
@@ -484,7 +484,7 @@
 		}
 		key := c.factPage(n)
 		s.pages[key] = true
-		txns = append(txns, wire.Txn{If: []wire.Cond{{Key: key}}, Then: []wire.Op{{Put: key, Value: c.own.PageValue(entries)}}})
+		txns = append(txns, wire.Txn{If: []wire.Condition{{Key: key}}, Then: []wire.Op{{Put: key, Value: c.own.PageValue(entries)}}})
 	}
 	if len(txns) == 0 {
 		then()
@@ -536,7 +536,7 @@
 	})
 	rec := rebuild.Lease(c.view.Me, c.hold.Incarnation(), r.gen+1, func(team string) wire.Share {
 		l := c.view.LimitOf(team)
-		return wire.Share{CPUs: int(l.CPUs), Cards: int(l.Cards)}
+		return wire.Share{CPUs: int(l.CPUs), GPUs: int(l.Cards)}
 	}, views...)
 	ops := []wire.Op{{Put: leaseKey, Value: rec}}
 	if rec.Form >= 2 {
@@ -549,11 +549,11 @@
 	}
 	g := rebuild.Generation{Form: rebuild.GenerationForm, Generation: r.gen + 1, By: c.view.Me, Lost: r.lost, Found: r.foundRev,
 		Jobs: r.jobs, Ends: r.ends, AtMs: c.loop.Now.UnixMilli(), TookMs: c.loop.Now.Sub(r.since).Milliseconds(),
-		Machines: len(rec.Blocks[c.view.Me].Old)}
+		Machines: len(rec.Blocks[c.view.Me].Unreconciled)}
 	ops = append(ops, wire.Op{Put: genKey, Value: g})
 	r.busy = true
 	c.loop.Emit(step.StateTxn{Control: true,
-		Txn: wire.Txn{If: []wire.Cond{{Key: leaseKey, Version: s.version}, {Key: genKey, Version: s.genVersion}}, Then: ops},
+		Txn: wire.Txn{If: []wire.Condition{{Key: leaseKey, Version: s.version}, {Key: genKey, Version: s.genVersion}}, Then: ops},
 		ID: c.loop.Call(func(d step.Completed) {
 			r.busy, r.next = false, c.loop.Now.Add(recoverPause)
 			if d.Status == 200 && c.recovery == r {
--- a/internal/core/controller/verify_test.go
+++ b/internal/core/controller/verify_test.go
@@ -19,7 +19,7 @@
 
 func newAsked(t *testing.T) *asked {
 	c, now := newCore(t, []config.Team{{Name: "free"}}, wire.LeaseRecord{Term: 3, Leader: "n1",
-		Blocks: map[string]wire.Block{"n0": {Grant: 1 << 18, Incarnation: 7}}, Homes: map[string]string{"free": "n0"}})
+		Blocks: map[string]wire.Block{"n0": {Grant: 1 << 18, Incarnation: 7}}, Partitions: map[string]string{"free": "n0"}})
 	return &asked{c, now, map[uint64]step.Reply{}}
 }
 
@@ -29,7 +29,7 @@
 	for _, e := range a.Step(a.now, ev) {
 		switch e := e.(type) {
 		case step.StateTxn:
-			if slices.ContainsFunc(e.Txn.If, func(c wire.Cond) bool { return c.Key == jobPrefix+"wk-000001" || c.Key == jobPrefix+"wk-000002" }) {
+			if slices.ContainsFunc(e.Txn.If, func(c wire.Condition) bool { return c.Key == jobPrefix+"wk-000001" || c.Key == jobPrefix+"wk-000002" }) {
 				txns = append(txns, e)
 			}
 		case step.StateGet:
--- a/internal/core/leader/fleet.go
+++ b/internal/core/leader/fleet.go
@@ -96,13 +96,13 @@
 }
 
 // seen notes a machine that has reported.
-func (f *fleet) seen(s *peerpb.Seen, now time.Time) {
+func (f *fleet) seen(s *peerpb.MachineInfo, now time.Time) {
 	r := f.machines[s.GetName()]
 	if r == nil {
 		r = &rented{offerKey: offerKey{s.GetType(), s.GetZone(), s.GetSpot()}, rentedAt: now}
 		f.machines[s.GetName()] = r
 	}
-	r.endpoint, r.session = s.GetEndpoint(), s.GetSession()
+	r.endpoint, r.session = s.GetEndpoint(), s.GetAgentEpoch()
 }
 
 // Run rents, lists and returns machines.
@@ -141,7 +141,7 @@
 	heard := map[string]bool{}
 	for node, r := range l.renewals {
 		if l.loop.Now.Sub(l.heardAt[node]) < 2*l.view.Par.Publish {
-			for _, n := range l.unpack(r.GetHeard()) {
+			for _, n := range l.unpack(r.GetReconciled()) {
 				heard[n] = true
 			}
 		}
@@ -156,7 +156,7 @@
 	empty := map[string]bool{}
 	for _, node := range cluster.SortedKeys(l.renewals) {
 		r := l.renewals[node]
-		for _, n := range l.unpack(r.GetLost()) {
+		for _, n := range l.unpack(r.GetSilentMachines()) {
 			// Somebody else may hear what its holder does not.
 			if !heard[n] && !l.gone[n] && l.view.OwnerOf(n) == node {
 				l.fleet.lose(n)
@@ -165,9 +165,9 @@
 		if r == own {
 			continue
 		}
-		for _, u := range r.GetUse() {
+		for _, u := range r.GetMachineUse() {
 			empty[u.GetName()] = u.GetIdleS() > 0
-			l.judgeUse(u.GetName(), u.GetIdleS(), u.GetBad())
+			l.judgeUse(u.GetName(), u.GetIdleS(), u.GetQuarantined())
 		}
 	}
 	l.local.Block(func(name string, idle time.Duration, bad, lost bool) {
@@ -226,7 +226,7 @@
 				return // ordinary machines are what is wanted
 			}
 		}
-		for _, n := range l.unpack(r.GetBound()) {
+		for _, n := range l.unpack(r.GetOnDemandOnly()) {
 			kept[n] = true
 		}
 		free += r.GetFreeSpotCpus()
@@ -277,9 +277,9 @@
 				continue
 			}
 			own := demands(l.renewals[holder])
-			for _, u := range l.renewals[holder].GetUse() {
+			for _, u := range l.renewals[holder].GetMachineUse() {
 				r := l.fleet.machines[u.GetName()]
-				if r == nil || u.GetBad() || u.GetGoing() || u.GetIdleS() < 1 || l.recalls[u.GetName()] || l.view.OwnerOf(u.GetName()) != holder {
+				if r == nil || u.GetQuarantined() || u.GetDeparting() || u.GetIdleS() < 1 || l.recalls[u.GetName()] || l.view.OwnerOf(u.GetName()) != holder {
 					continue
 				}
 				empty := []sched.Offer{{Type: r.kind, Zone: r.zone, Spot: r.spot, Size: cluster.SizeOf(l.view.Types[r.kind])}}
@@ -309,9 +309,9 @@
 	var out []sched.Demand
 	for _, d := range r.GetDemand() {
 		out = append(out, sched.Demand{Rank: int(d.GetRank()),
-			Need:  sched.Amount{CPUs: d.GetCpus(), Cards: d.GetCards(), MemoryGB: d.GetMemoryGb()},
+			Need:  sched.Amount{CPUs: d.GetCpus(), Cards: d.GetGpus(), MemoryGB: d.GetMemoryGb()},
 			Types: d.GetTypes(), Zone: d.GetZone(), Spot: d.GetSpot(),
-			Count: int(d.GetCount()), RunS: max(1, d.GetRunS()), Whole: d.GetWhole(), Starved: d.GetStarved(), SlackS: d.GetSlackS()})
+			Count: int(d.GetCount()), RunS: max(1, d.GetRunS()), ProvisionAll: d.GetProvisionAll(), Starved: d.GetStarved(), SlackS: d.GetSlackS()})
 	}
 	return out
 }
@@ -350,8 +350,8 @@
 		return
 	}
 	names := cluster.SortedKeys(f.leaving)
-	if len(names) > wire.MaxRelease {
-		names = names[:wire.MaxRelease]
+	if len(names) > wire.MaxDeletesPerRequest {
+		names = names[:wire.MaxDeletesPerRequest]
 	}
 	f.releasing = true
 	var lost []string
--- a/internal/core/leader/fleet_test.go
+++ b/internal/core/leader/fleet_test.go
@@ -37,7 +37,7 @@
 			number++
 			r := &peerpb.Renewal{Node: "n1", Incarnation: 9, Number: number}
 			if lost {
-				r.Lost = wire.PackNames([]string{"host-000001"})
+				r.SilentMachines = wire.PackNames([]string{"host-000001"})
 			}
 			l.Renewal(r)
 			l.Run()
@@ -64,23 +64,23 @@
 func TestRecallOfABusyMachineIsWithdrawn(t *testing.T) {
 	for _, c := range []struct {
 		name         string
-		first, later *peerpb.Use
+		first, later *peerpb.MachineUse
 		stays        bool
 	}{
-		{"in use again", &peerpb.Use{IdleS: 60}, nil, false},
-		{"still empty", &peerpb.Use{IdleS: 60}, &peerpb.Use{IdleS: 77}, true},
-		{"faulty", &peerpb.Use{Bad: true}, nil, true},
+		{"in use again", &peerpb.MachineUse{IdleS: 60}, nil, false},
+		{"still empty", &peerpb.MachineUse{IdleS: 60}, &peerpb.MachineUse{IdleS: 77}, true},
+		{"faulty", &peerpb.MachineUse{Quarantined: true}, nil, true},
 	} {
 		l := newLeader(nil, wire.LeaseRecord{Term: 3, Leader: "n0", Incarnation: 7,
 			Blocks: map[string]wire.Block{"n0": {Grant: 3 << 16, Incarnation: 7}, "n1": {Grant: 3<<16 + 1, Incarnation: 9, Machines: []string{"host-000001"}}}})
 		start := l.loop.Now
-		for i, u := range []*peerpb.Use{c.first, c.later} {
+		for i, u := range []*peerpb.MachineUse{c.first, c.later} {
 			l.loop.Begin(start.Add(time.Duration(i)*(recallMost+2*time.Second) + time.Second))
 			l.Stored(l.loop.Now)
 			r := &peerpb.Renewal{Node: "n1", Incarnation: 9, Number: uint64(1 + i)}
 			if u != nil {
 				u.Name = "host-000001"
-				r.Use = append(r.Use, u)
+				r.MachineUse = append(r.MachineUse, u)
 			}
 			l.Renewal(r)
 			l.Run()
@@ -92,7 +92,7 @@
 			t.Errorf("%s: recalled %v, want %v", c.name, got, c.stays)
 		}
 		rec, _ := l.Publish(&peerpb.Renewal{Node: "n0", Incarnation: 7, Number: 1})
-		if got := len(rec.Blocks["n1"].Recall) > 0; got != c.stays {
+		if got := len(rec.Blocks["n1"].Draining) > 0; got != c.stays {
 			t.Errorf("%s: its holder is told so: %v, want %v", c.name, got, c.stays)
 		}
 	}
--- a/internal/core/leader/homes.go
+++ b/internal/core/leader/homes.go
@@ -28,7 +28,7 @@
 	}
 	n := float64(l.view.Cfg.Controllers())
 	for _, m := range l.view.Types {
-		if (t.CPUsMax > 0 && t.CPUsMax < n*m.CPUs) || (t.GPUsMax > 0 && t.GPUsMax < n*m.Cards) {
+		if (t.CPUsMax > 0 && t.CPUsMax < n*m.CPUs) || (t.GPUsMax > 0 && t.GPUsMax < n*m.GPUs) {
 			return false
 		}
 	}
@@ -71,8 +71,8 @@
 // with fewest homes of that team, and then with the smallest block; the one that
 // offers it when nobody has fewer.
 func (l *Leader) seat(rec *wire.LeaseRecord, home, from string) string {
-	team, _, _ := wire.CutPart(home)
-	count := cluster.CountHomes(rec.Homes, team)
+	team, _, _ := wire.SplitShard(home)
+	count := cluster.CountHomes(rec.Partitions, team)
 	best := from
 	for _, node := range cluster.SortedKeys(rec.Blocks) {
 		if node == from || !l.alive(node) || count[node] >= count[from] {
@@ -107,7 +107,7 @@
 	teams := slices.Clone(l.view.Cfg.Cluster.Teams)
 	slices.SortStableFunc(teams, func(a, b config.Team) int { return cmp.Compare(weigh(b), weigh(a)) })
 	for _, t := range teams {
-		weight[rec.Homes[t.Name]] += weigh(t)
+		weight[rec.Partitions[t.Name]] += weigh(t)
 	}
 	homes := 0
 	for _, node := range live {
@@ -116,7 +116,7 @@
 		}
 	}
 	for _, t := range teams {
-		if _, ok := rec.Blocks[rec.Homes[t.Name]]; ok {
+		if _, ok := rec.Blocks[rec.Partitions[t.Name]]; ok {
 			continue
 		}
 		more := large && homes*l.machinesPerHome() < l.fleetSize()
@@ -136,11 +136,11 @@
 		if weight[best] == 0 {
 			homes++
 		}
-		rec.Homes[t.Name] = best
+		rec.Partitions[t.Name] = best
 		weight[best] += weigh(t)
 	}
 	for _, t := range teams {
-		own := cluster.Parts(rec.Homes, t.Name)
+		own := cluster.Parts(rec.Partitions, t.Name)
 		if !l.partable(t) && len(own) == 0 {
 			continue
 		}
@@ -154,15 +154,15 @@
 		}
 		has := map[string]bool{}
 		for _, part := range own {
-			has[rec.Homes[part]] = true
+			has[rec.Partitions[part]] = true
 		}
 		for _, node := range live {
 			if has[node] || len(own) >= partsMost*l.view.Cfg.Controllers() {
 				continue
 			}
-			part := wire.PartName(t.Name, len(own)+1)
+			part := wire.ShardName(t.Name, len(own)+1)
 			own = append(own, part)
-			rec.Homes[part] = node
+			rec.Partitions[part] = node
 		}
 	}
 }
--- a/internal/core/leader/leader.go
+++ b/internal/core/leader/leader.go
@@ -40,7 +40,7 @@
 	Inflow() float64
 	// Introduce lets it know how to reach machines of its block that have not
 	// reported yet; seen returns nil for those that nobody has heard of.
-	Introduce(seen func(name string) *peerpb.Seen)
+	Introduce(seen func(name string) *peerpb.MachineInfo)
 }
 
 // Leader is the state of a leader.
@@ -137,7 +137,7 @@
 	}
 	l.renewals[node], l.heardAt[node] = r, l.loop.Now
 	if !ok || b.Incarnation != r.GetIncarnation() ||
-		r.GetResigned() || len(r.GetGave())+len(r.GetLost())+len(r.GetSeen())+len(r.GetYields()) > 0 {
+		r.GetResigned() || len(r.GetReleased())+len(r.GetSilentMachines())+len(r.GetKnownMachines())+len(r.GetHandovers()) > 0 {
 		l.dirty = true
 	}
 	return true
@@ -197,12 +197,12 @@
 }
 
 // Seen describes a machine as far as anybody has told, or returns nil.
-func (l *Leader) Seen(name string) *peerpb.Seen {
+func (l *Leader) Seen(name string) *peerpb.MachineInfo {
 	r := l.fleet.machines[name]
 	if r == nil {
 		return nil
 	}
-	return &peerpb.Seen{Name: name, Endpoint: r.endpoint, Type: r.kind, Zone: r.zone, Spot: r.spot, Session: r.session}
+	return &peerpb.MachineInfo{Name: name, Endpoint: r.endpoint, Type: r.kind, Zone: r.zone, Spot: r.spot, AgentEpoch: r.session}
 }
 
 // alive tells whether a controller renewed lately.
--- a/internal/core/leader/leader_test.go
+++ b/internal/core/leader/leader_test.go
@@ -25,7 +25,7 @@
 func (l *local) Guests() []string                                            { return nil }
 func (l *local) Uses() map[string]*peerpb.TeamUse                            { return nil }
 func (l *local) Inflow() float64                                             { return l.inflow }
-func (l *local) Introduce(func(name string) *peerpb.Seen)                    {}
+func (l *local) Introduce(func(name string) *peerpb.MachineInfo)             {}
 
 // newLeader returns a leader of two controllers that has led for a minute and
 // has read the machine list.
@@ -56,9 +56,9 @@
 	}{{0.12, 2, 1}, {0.05, 2, 2}, {0.05, 6, 1}, {0, 0.1, 2}} {
 		l.view.Cfg.Cluster.Limits.Cores, l.view.Cfg.Cluster.Workers.ReportS = want.cores, want.reportS
 		l.renewals["n1"], l.heardAt["n1"] = &peerpb.Renewal{}, l.loop.Now
-		rec := wire.LeaseRecord{Blocks: map[string]wire.Block{"n0": {}, "n1": {}}, Homes: map[string]string{}}
+		rec := wire.LeaseRecord{Blocks: map[string]wire.Block{"n0": {}, "n1": {}}, Partitions: map[string]string{}}
 		l.settleHomes(&rec)
-		homes := map[string]bool{rec.Homes["a"]: true, rec.Homes["b"]: true}
+		homes := map[string]bool{rec.Partitions["a"]: true, rec.Partitions["b"]: true}
 		if len(homes) != want.homes {
 			t.Errorf("%v cores, reports every %v s: %d homes, want %d", want.cores, want.reportS, len(homes), want.homes)
 		}
@@ -84,7 +84,7 @@
 		l.local = &local{inflow: c.inflow}
 		// 100 tasks of 9 s, to be worked off in 1.5 boot times of 6 s, need as
 		// many processors for that time.
-		waiting := []sched.Demand{{Need: sched.Amount{CPUs: 1}, Count: 100, RunS: 9, SlackS: c.slack, Whole: c.whole}}
+		waiting := []sched.Demand{{Need: sched.Amount{CPUs: 1}, Count: 100, RunS: 9, SlackS: c.slack, ProvisionAll: c.whole}}
 		if got := l.behind(waiting, 120)[0].Count; got != c.want {
 			t.Errorf("%s: %d tasks want dear machines, want %d", c.name, got, c.want)
 		}
@@ -100,7 +100,7 @@
 	team := config.Team{Name: "red", CPUsMax: 100}
 	lease := func() wire.LeaseRecord {
 		return wire.LeaseRecord{Form: 2, Term: 3, Leader: "n0", Incarnation: 7,
-			Homes: map[string]string{"red": "n0", "red #1": "n0", "red #2": "n1"},
+			Partitions: map[string]string{"red": "n0", "red #1": "n0", "red #2": "n1"},
 			Blocks: map[string]wire.Block{"n0": {Grant: 3 << 16, Incarnation: 7},
 				"n1": {Grant: 3<<16 + 1, Incarnation: 9, Renewal: 5}},
 			Shares: map[string]wire.Shares{"red": {"n0": {CPUs: 20}, "n1": {CPUs: 80}}}}
@@ -118,7 +118,7 @@
 	} {
 		l := newLeader([]config.Team{team}, lease())
 		l.Renewal(&peerpb.Renewal{Node: "n1", Incarnation: 9, Number: c.number, Grant: c.grant,
-			Ceilings: []*peerpb.Ceiling{{Team: "red", Cpus: 30}}})
+			Reservations: []*peerpb.QuotaReservation{{Team: "red", Cpus: 30}}})
 		rec, _ := l.Publish(&peerpb.Renewal{Node: "n0", Incarnation: 7, Number: 1})
 		shares := rec.Shares["red"]["n1"].CPUs
 		if sum := shares + rec.Shares["red"]["n0"].CPUs; sum > 100 {
@@ -135,8 +135,8 @@
 func TestOldControllersKeepTheOldForm(t *testing.T) {
 	for _, form := range []uint32{0, 2} {
 		l := newLeader([]config.Team{{Name: "red", CPUsMax: 100}}, wire.LeaseRecord{Term: 3, Leader: "n0", Incarnation: 7,
-			Homes:  map[string]string{"red": "n0"},
-			Blocks: map[string]wire.Block{"n0": {Grant: 3 << 16, Incarnation: 7}, "n1": {Grant: 3<<16 + 1, Incarnation: 9, Renewal: 5}}})
+			Partitions: map[string]string{"red": "n0"},
+			Blocks:     map[string]wire.Block{"n0": {Grant: 3 << 16, Incarnation: 7}, "n1": {Grant: 3<<16 + 1, Incarnation: 9, Renewal: 5}}})
 		l.view.Par.Home = 0
 		l.view.Peers["n1"].Form = form
 		l.Renewal(&peerpb.Renewal{Node: "n1", Incarnation: 9, Number: 6})
@@ -199,13 +199,13 @@
 		{"one of an earlier grant", 6, 3 << 16, "n1"},
 	} {
 		l := newLeader([]config.Team{{Name: "red"}}, wire.LeaseRecord{Form: 2, Term: 3, Leader: "n0", Incarnation: 7,
-			Homes: map[string]string{"red #1": "n0", "red #2": "n1", "red #3": "n1", "red #4": "n1"},
+			Partitions: map[string]string{"red #1": "n0", "red #2": "n1", "red #3": "n1", "red #4": "n1"},
 			Blocks: map[string]wire.Block{"n0": {Grant: 3 << 16, Incarnation: 7},
 				"n1": {Grant: 3<<16 + 1, Incarnation: 9, Renewal: 5}}})
-		l.Renewal(&peerpb.Renewal{Node: "n1", Incarnation: 9, Number: c.number, Grant: c.grant, Yields: []string{"red #3", "red #1"}})
+		l.Renewal(&peerpb.Renewal{Node: "n1", Incarnation: 9, Number: c.number, Grant: c.grant, Handovers: []string{"red #3", "red #1"}})
 		rec, _ := l.Publish(&peerpb.Renewal{Node: "n0", Incarnation: 7, Number: 1})
-		if rec.Homes["red #3"] != c.want || rec.Homes["red #1"] != "n0" {
-			t.Errorf("%s: homes are %v", c.name, rec.Homes)
+		if rec.Partitions["red #3"] != c.want || rec.Partitions["red #1"] != "n0" {
+			t.Errorf("%s: homes are %v", c.name, rec.Partitions)
 		}
 	}
 }
@@ -247,7 +247,7 @@
 // counted again it would take the machine off it while tasks run there, and its
 // holder would start them elsewhere, as on a machine that is gone.
 func TestGaveCountsUnderItsGrant(t *testing.T) {
-	l := newLeader(nil, wire.LeaseRecord{Term: 3, Leader: "n0", Incarnation: 7, Grants: 3<<16 + 1,
+	l := newLeader(nil, wire.LeaseRecord{Term: 3, Leader: "n0", Incarnation: 7, LastGrant: 3<<16 + 1,
 		Blocks: map[string]wire.Block{"n0": {Grant: 3 << 16, Incarnation: 7}, "n1": {Grant: 3<<16 + 1, Incarnation: 9, Machines: []string{"host-000001"}}}})
 	l.fleet.machines["host-000001"] = &rented{offerKey: offerKey{kind: "s4"}}
 	version := l.view.Version
@@ -260,13 +260,13 @@
 		l.view.Take(rec, version)
 		return l.view.OwnerOf("host-000001")
 	}
-	l.Renewal(&peerpb.Renewal{Node: "n1", Incarnation: 9, Number: 1, Grant: 3<<16 + 1, Gave: wire.PackNames([]string{"host-000001"})})
+	l.Renewal(&peerpb.Renewal{Node: "n1", Incarnation: 9, Number: 1, Grant: 3<<16 + 1, Released: wire.PackNames([]string{"host-000001"})})
 	l.recalls["host-000001"], l.moves["host-000001"] = true, "n0"
 	if got := publish(&peerpb.Renewal{}); got != "n0" {
 		t.Fatalf("given back for n0, it is %q's", got)
 	}
 	l.moves["host-000001"] = "n1"
-	if got := publish(&peerpb.Renewal{Gave: wire.PackNames([]string{"host-000001"})}); got != "n1" {
+	if got := publish(&peerpb.Renewal{Released: wire.PackNames([]string{"host-000001"})}); got != "n1" {
 		t.Fatalf("given back for n1, it is %q's", got)
 	}
 	delete(l.recalls, "host-000001")
@@ -275,7 +275,7 @@
 		t.Errorf("by a renewal of before it is %q's, to be returned: %v", got, l.fleet.leaving["host-000001"])
 	}
 	grant := l.view.Lease.Blocks["n1"].Grant
-	l.Renewal(&peerpb.Renewal{Node: "n1", Incarnation: 9, Number: 2, Grant: grant, Gave: wire.PackNames([]string{"host-000001"})})
+	l.Renewal(&peerpb.Renewal{Node: "n1", Incarnation: 9, Number: 2, Grant: grant, Released: wire.PackNames([]string{"host-000001"})})
 	if got := publish(&peerpb.Renewal{}); got != "" || !l.fleet.leaving["host-000001"] {
 		t.Errorf("given back under its grant it is %q's, to be returned: %v", got, l.fleet.leaving["host-000001"])
 	}
--- a/internal/core/leader/level.go
+++ b/internal/core/leader/level.go
@@ -21,7 +21,7 @@
 		return
 	}
 	st := l.view.Levels()
-	word := gate.Word{Level: gate.Level(l.view.Word.Value.Level), Hold: l.view.Word.Value.Hold}
+	word := gate.Word{Level: gate.Level(l.view.Word.Value.TargetLevel), Hold: l.view.Word.Value.HoldLevel}
 	next, waits := l.raise.Decide(l.loop.Now, st, l.view.Par.Levels, l.view.Members(l.inc, l.loop.Now), word)
 	if !slices.Equal(waits, l.waits) {
 		l.log.Debug("level", "level", st.Level, "confirmed", st.Confirmed, "waits", waits)
--- a/internal/core/leader/plan.go
+++ b/internal/core/leader/plan.go
@@ -131,8 +131,8 @@
 		for _, d := range r.GetDemand() {
 			starving = starving || d.GetStarved()
 		}
-		for _, u := range r.GetUse() {
-			if u.GetGoing() {
+		for _, u := range r.GetMachineUse() {
+			if u.GetDeparting() {
 				going[u.GetName()] = true
 			}
 		}
@@ -188,7 +188,7 @@
 		part = short / float64(n)
 	}
 	for _, o := range offers {
-		n := min(int(math.Ceil(part/o.Size.CPUs)), int((f.target-f.spot)/o.Size.CPUs), wire.MaxRent, left)
+		n := min(int(math.Ceil(part/o.Size.CPUs)), int((f.target-f.spot)/o.Size.CPUs), wire.MaxInstancesPerRequest, left)
 		if n <= 0 {
 			continue
 		}
@@ -272,7 +272,7 @@
 	}
 	share := max(0, 1-patience/(work/have))
 	for i := range out {
-		if !out[i].Whole {
+		if !out[i].ProvisionAll {
 			out[i].Count = int(math.Ceil(float64(out[i].Count) * share))
 		}
 	}
@@ -302,7 +302,7 @@
 	out := slices.Clone(waiting)
 	for i := range out {
 		d := &out[i]
-		if !d.Whole && d.SlackS > patient*drain {
+		if !d.ProvisionAll && d.SlackS > patient*drain {
 			d.Count = 0 // may wait for cheaper room
 		}
 		n := float64(d.Count) * d.Need.CPUs
@@ -310,7 +310,7 @@
 		short += n * d.RunS / max(drain, d.SlackS, 1)
 	}
 	for i := range out {
-		if d := &out[i]; !d.Whole {
+		if d := &out[i]; !d.ProvisionAll {
 			d.Count = int(math.Ceil(float64(d.Count) * min(1, max(0, short/max(1, cpus)))))
 		}
 	}
@@ -338,11 +338,11 @@
 	return out
 }
 
-// rent asks for an order's machines, a request for each MaxRent of them.
+// rent asks for an order's machines, a request for each MaxInstancesPerRequest of them.
 func (l *Leader) rent(o sched.Order) {
-	for ; o.Number > wire.MaxRent; o.Number -= wire.MaxRent {
+	for ; o.Number > wire.MaxInstancesPerRequest; o.Number -= wire.MaxInstancesPerRequest {
 		part := o
-		part.Number = wire.MaxRent
+		part.Number = wire.MaxInstancesPerRequest
 		l.request(part)
 	}
 	l.request(o)
@@ -353,17 +353,17 @@
 	f.requests++
 	f.renting++
 	key := offerKey{o.Type, o.Zone, o.Spot}
-	req := wire.Rent{Request: fmt.Sprintf("r-%d-%d", l.term, f.requests), Type: o.Type, Zone: o.Zone, Spot: o.Spot, Number: o.Number}
+	req := wire.InstanceRequest{ID: fmt.Sprintf("r-%d-%d", l.term, f.requests), Type: o.Type, Zone: o.Zone, Spot: o.Spot, Count: o.Number}
 	asked := l.loop.Now
 	l.loop.Emit(step.CloudRent{Rent: req, ID: l.loop.Call(func(d step.Completed) {
 		f.renting--
-		if d.Status != 200 || len(d.Names) < req.Number {
+		if d.Status != 200 || len(d.Names) < req.Count {
 			if o.Spot {
 				f.tight = l.loop.Now
 			}
 			f.refused[key] = l.loop.Now.Add(refusedFor)
 		}
-		l.log.Info("rented", "type", o.Type, "zone", o.Zone, "spot", o.Spot, "asked", req.Number, "got", len(d.Names), "status", d.Status)
+		l.log.Info("rented", "type", o.Type, "zone", o.Zone, "spot", o.Spot, "asked", req.Count, "got", len(d.Names), "status", d.Status)
 		for _, n := range d.Names {
 			if f.machines[n] == nil {
 				f.machines[n] = &rented{offerKey: key, rentedAt: asked, listedAt: l.loop.Now}
--- a/internal/core/leader/publish.go
+++ b/internal/core/leader/publish.go
@@ -13,8 +13,8 @@
 // nextGrant returns a number for a new grant. It rises for good, with the
 // term in its upper bits, since tokens and attempts are made of it.
 func nextGrant(rec *wire.LeaseRecord) uint64 {
-	rec.Grants = max(rec.Grants+1, rec.Term<<16)
-	return rec.Grants
+	rec.LastGrant = max(rec.LastGrant+1, rec.Term<<16)
+	return rec.LastGrant
 }
 
 // Regrant gives a controller's block to a new process of that controller. Its
@@ -25,8 +25,8 @@
 	if b.Incarnation == inc {
 		return
 	}
-	b.Old = append(slices.Clone(b.Old), b.Machines...)
-	slices.Sort(b.Old)
+	b.Unreconciled = append(slices.Clone(b.Unreconciled), b.Machines...)
+	slices.Sort(b.Unreconciled)
 	b.Machines, b.Renewal, b.Incarnation = nil, 0, inc
 	b.Grant = nextGrant(rec)
 	rec.Blocks[node] = b
@@ -51,7 +51,7 @@
 func (l *Leader) Publish(own *peerpb.Renewal) (rec wire.LeaseRecord, stored func()) {
 	l.renewals[l.view.Me] = own
 	p := &proposal{rec: l.view.Lease.Clone(), gave: map[string]map[string]bool{}, joined: map[string]map[string]bool{}}
-	p.rec.Beat++
+	p.rec.Sequence++
 	l.honour(&p.rec, l.view.Me, own)
 	Regrant(&p.rec, l.view.Me, l.inc)
 	l.renew(p)
@@ -102,7 +102,7 @@
 		if r.GetGrant() != p.rec.Blocks[node].Grant {
 			continue
 		}
-		for _, name := range l.unpack(r.GetGave()) {
+		for _, name := range l.unpack(r.GetReleased()) {
 			p.gave[node][name] = true
 		}
 	}
@@ -126,14 +126,14 @@
 		}
 		to := l.successor(rec, node)
 		b := rec.Blocks[to]
-		b.Old = append(append(slices.Clone(b.Old), dead.Machines...), dead.Old...)
-		slices.Sort(b.Old)
+		b.Unreconciled = append(append(slices.Clone(b.Unreconciled), dead.Machines...), dead.Unreconciled...)
+		slices.Sort(b.Unreconciled)
 		b.Grant = nextGrant(rec)
 		rec.Blocks[to] = b
 		inherit(rec, node, to)
-		for team, home := range rec.Homes {
+		for team, home := range rec.Partitions {
 			if home == node {
-				rec.Homes[team] = to
+				rec.Partitions[team] = to
 			}
 		}
 		// Only what is stored has happened: a leader that is refused, or was
@@ -141,7 +141,7 @@
 		before := stored
 		stored = func() {
 			before()
-			l.log.Info("lease lapsed", "node", node, "resigned", resigned, "successor", to, "machines", len(dead.Machines)+len(dead.Old))
+			l.log.Info("lease lapsed", "node", node, "resigned", resigned, "successor", to, "machines", len(dead.Machines)+len(dead.Unreconciled))
 		}
 	}
 	return stored
@@ -205,8 +205,8 @@
 			}
 			return out
 		}
-		b.Machines, b.Old = keep(b.Machines), keep(b.Old)
-		b.Recall = recalls[node]
+		b.Machines, b.Unreconciled = keep(b.Machines), keep(b.Unreconciled)
+		b.Draining = recalls[node]
 		p.rec.Blocks[node] = b
 	}
 	return free
@@ -243,7 +243,7 @@
 	choose := l.joiner(&p.rec)
 	fresh := map[string]bool{}
 	for _, node := range cluster.SortedKeys(l.renewals) {
-		for _, s := range l.renewals[node].GetSeen() {
+		for _, s := range l.renewals[node].GetKnownMachines() {
 			n := s.GetName()
 			if fresh[n] || l.view.OwnerOf(n) != "" || l.gone[n] || l.fleet.leaving[n] {
 				continue
@@ -275,14 +275,14 @@
 
 func load(rec *wire.LeaseRecord, node string) int {
 	b := rec.Blocks[node]
-	return len(b.Machines) + len(b.Old)
+	return len(b.Machines) + len(b.Unreconciled)
 }
 
 // joiner returns a function that chooses the block a new machine joins: that
 // of a controller with waiting work that would fill it, among those the one
 // with most work, waiting or running, for the processors it has, and then one
 // in the machine's zone.
-func (l *Leader) joiner(rec *wire.LeaseRecord) func(s *peerpb.Seen) string {
+func (l *Leader) joiner(rec *wire.LeaseRecord) func(s *peerpb.MachineInfo) string {
 	busy, size, given := map[string]float64{}, map[string]float64{}, map[string]float64{}
 	waits := map[string][]sched.Demand{}
 	var live []string
@@ -293,19 +293,19 @@
 		live = append(live, node)
 		busy[node] = l.renewals[node].GetBusyCpus()
 		waits[node] = demands(l.renewals[node])
-		for _, home := range rec.Homes {
+		for _, home := range rec.Partitions {
 			if home == node {
 				busy[node] += 0.01 // where work will come
 			}
 		}
 		b := rec.Blocks[node]
-		for _, names := range [][]string{b.Machines, b.Old} {
+		for _, names := range [][]string{b.Machines, b.Unreconciled} {
 			for _, n := range names {
 				size[node] += l.cpusOf(n)
 			}
 		}
 	}
-	return func(s *peerpb.Seen) string {
+	return func(s *peerpb.MachineInfo) string {
 		best, bestFill, bestNeed := "", -1.0, -1.0
 		kind := l.view.Types[s.GetType()]
 		for _, node := range live {
--- a/internal/core/leader/shares.go
+++ b/internal/core/leader/shares.go
@@ -19,17 +19,17 @@
 	if r.GetGrant() == 0 || r.GetGrant() != rec.Blocks[node].Grant {
 		return
 	}
-	for _, x := range r.GetCeilings() {
+	for _, x := range r.GetReservations() {
 		s, ok := rec.Shares[x.GetTeam()][node]
 		if !ok {
 			continue
 		}
-		s.CPUs, s.Cards = min(s.CPUs, int(x.GetCpus())), min(s.Cards, int(x.GetCards()))
+		s.CPUs, s.GPUs = min(s.CPUs, int(x.GetCpus())), min(s.GPUs, int(x.GetGpus()))
 		rec.Shares[x.GetTeam()][node] = s
 	}
-	for _, home := range r.GetYields() {
-		if rec.Homes[home] == node {
-			rec.Homes[home] = l.seat(rec, home, node)
+	for _, home := range r.GetHandovers() {
+		if rec.Partitions[home] == node {
+			rec.Partitions[home] = l.seat(rec, home, node)
 		}
 	}
 }
@@ -40,7 +40,7 @@
 	for _, shares := range rec.Shares {
 		a, b := shares[dead], shares[to]
 		delete(shares, dead)
-		shares[to] = wire.Share{CPUs: a.CPUs + b.CPUs, Cards: a.Cards + b.Cards}
+		shares[to] = wire.Share{CPUs: a.CPUs + b.CPUs, GPUs: a.GPUs + b.GPUs}
 	}
 }
 
@@ -48,14 +48,14 @@
 // to the controller that was home to all of them, or parts it evenly where
 // nobody was.
 func (l *Leader) beginShares(rec *wire.LeaseRecord, t config.Team, live []string) {
-	limit := wire.Share{CPUs: int(t.CPUsMax), Cards: int(t.GPUsMax)}
+	limit := wire.Share{CPUs: int(t.CPUsMax), GPUs: int(t.GPUsMax)}
 	shares := wire.Shares{}
-	if home := l.view.Lease.Homes[t.Name]; home != "" {
+	if home := l.view.Lease.Partitions[t.Name]; home != "" {
 		// Its home at this moment, should it have moved with this write.
-		shares[rec.Homes[t.Name]] = limit
+		shares[rec.Partitions[t.Name]] = limit
 	} else {
 		for _, node := range live {
-			shares[node] = wire.Share{CPUs: limit.CPUs / len(live), Cards: limit.Cards / len(live)}
+			shares[node] = wire.Share{CPUs: limit.CPUs / len(live), GPUs: limit.GPUs / len(live)}
 		}
 	}
 	if rec.Shares == nil {
@@ -77,7 +77,7 @@
 	own := l.local.Uses()
 	for _, team := range cluster.SortedKeys(rec.Shares) {
 		shares, limit := rec.Shares[team], l.view.LimitOf(team)
-		cpus, cards := l.view.Needs(rec.Homes, shares, team, own, l.loop.Now)
+		cpus, cards := l.view.Needs(rec.Partitions, shares, team, own, l.loop.Now)
 		for node := range cpus {
 			if _, ok := rec.Blocks[node]; !ok {
 				delete(cpus, node)
@@ -101,7 +101,7 @@
 			}
 		}
 		raise(limit.CPUs, cpus, func(s wire.Share) int { return s.CPUs }, func(s *wire.Share, n int) { s.CPUs = n })
-		raise(limit.Cards, cards, func(s wire.Share) int { return s.Cards }, func(s *wire.Share, n int) { s.Cards = n })
+		raise(limit.Cards, cards, func(s wire.Share) int { return s.GPUs }, func(s *wire.Share, n int) { s.GPUs = n })
 	}
 	return worth
 }
--- a/internal/core/leasevalue/golden_test.go
+++ b/internal/core/leasevalue/golden_test.go
@@ -14,13 +14,13 @@
 	for _, form := range []int{FormPages, Form} {
 		t.Run(fmt.Sprintf("form %d", form), func(t *testing.T) {
 			// One controller: the order of more is not fixed in the encoding.
-			rec := wire.LeaseRecord{Form: form, Term: 7, Leader: "stall-1", Incarnation: 3, Grants: 9, Beat: 11,
+			rec := wire.LeaseRecord{Form: form, Term: 7, Leader: "stall-1", Incarnation: 3, LastGrant: 9, Sequence: 11,
 				Blocks: map[string]wire.Block{
-					"stall-0": {Grant: 4, Incarnation: 2, Renewal: 5, Machines: hosts(0, 2500), Old: hosts(2500, 2510), Recall: hosts(0, 2)},
+					"stall-0": {Grant: 4, Incarnation: 2, Renewal: 5, Machines: hosts(0, 2500), Unreconciled: hosts(2500, 2510), Draining: hosts(0, 2)},
 				},
-				Homes:   map[string]string{"red": "stall-0", wire.PartName("red", 1): "stall-0"},
-				Waiting: map[string]int{"g8": 12},
-				Shares:  map[string]wire.Shares{"red": {"stall-0": {CPUs: 30, Cards: 2}}},
+				Partitions: map[string]string{"red": "stall-0", wire.ShardName("red", 1): "stall-0"},
+				Waiting:    map[string]int{"g8": 12},
+				Shares:     map[string]wire.Shares{"red": {"stall-0": {CPUs: 30, GPUs: 2}}},
 			}
 			if form == Form {
 				rec.Level, rec.Confirmed, rec.Generation = 2, 1, 3
--- a/internal/core/leasevalue/leasevalue.go
+++ b/internal/core/leasevalue/leasevalue.go
@@ -197,8 +197,8 @@
 	if err := wire.Decode(value, &h); err != nil {
 		return rec, fmt.Errorf("lease value: %w", err)
 	}
-	rec = wire.LeaseRecord{Form: h.Form, Level: h.Level, Confirmed: h.Confirmed, Generation: h.Generation, Term: h.Term, Leader: h.Leader, Incarnation: h.Incarnation, Grants: h.Grants,
-		Beat: h.Beat, Blocks: make(map[string]wire.Block, len(h.Blocks)), Homes: h.Homes, Waiting: h.Waiting}
+	rec = wire.LeaseRecord{Form: h.Form, Level: h.Level, Confirmed: h.Confirmed, Generation: h.Generation, Term: h.Term, Leader: h.Leader, Incarnation: h.Incarnation, LastGrant: h.Grants,
+		Sequence: h.Beat, Blocks: make(map[string]wire.Block, len(h.Blocks)), Partitions: h.Homes, Waiting: h.Waiting}
 	if h.Form >= 3 {
 		var err error
 		if rec.Unknown, err = wire.UnknownFields(value, h); err != nil {
@@ -224,10 +224,10 @@
 			if at < 0 || at >= len(nodes) {
 				return rec, fmt.Errorf("lease value: part %d of %q has no home", i+1, team)
 			}
-			if rec.Homes == nil {
-				rec.Homes = map[string]string{}
+			if rec.Partitions == nil {
+				rec.Partitions = map[string]string{}
 			}
-			rec.Homes[wire.PartName(team, i+1)] = nodes[at]
+			rec.Partitions[wire.ShardName(team, i+1)] = nodes[at]
 		}
 	}
 	for team, list := range h.CPUs {
@@ -242,7 +242,7 @@
 		for i, node := range nodes {
 			s := wire.Share{CPUs: list[i]}
 			if len(cards) > 0 {
-				s.Cards = cards[i]
+				s.GPUs = cards[i]
 			}
 			rec.Shares[team][node] = s
 		}
--- a/internal/core/leasevalue/leasevalue_test.go
+++ b/internal/core/leasevalue/leasevalue_test.go
@@ -69,7 +69,7 @@
 		}
 		return out
 	}
-	return a.Term == b.Term && a.Beat == b.Beat && a.Leader == b.Leader && reflect.DeepEqual(a.Homes, b.Homes) &&
+	return a.Term == b.Term && a.Sequence == b.Sequence && a.Leader == b.Leader && reflect.DeepEqual(a.Partitions, b.Partitions) &&
 		reflect.DeepEqual(a.Shares, b.Shares) && reflect.DeepEqual(norm(a), norm(b))
 }
 
@@ -84,8 +84,8 @@
 // fleet is a record of controllers, machines rented by the fifty, and teams
 // whose limits are parted.
 func fleet(controllers, machines int) *wire.LeaseRecord {
-	rec := &wire.LeaseRecord{Form: 2, Term: 7, Leader: "stall-0", Incarnation: 1764000000000, Grants: 7 << 16, Beat: 900000,
-		Blocks: map[string]wire.Block{}, Homes: map[string]string{}, Waiting: map[string]int{"small": 1200, "middle": 4400, "large": 900},
+	rec := &wire.LeaseRecord{Form: 2, Term: 7, Leader: "stall-0", Incarnation: 1764000000000, LastGrant: 7 << 16, Sequence: 900000,
+		Blocks: map[string]wire.Block{}, Partitions: map[string]string{}, Waiting: map[string]int{"small": 1200, "middle": 4400, "large": 900},
 		Shares: map[string]wire.Shares{}}
 	for i := range controllers {
 		rec.Blocks[fmt.Sprintf("stall-%d", i)] = wire.Block{Grant: 7<<16 + uint64(i), Incarnation: 1764000000000, Renewal: 123456}
@@ -94,8 +94,8 @@
 		team := fmt.Sprintf("team-%d", k)
 		rec.Shares[team] = wire.Shares{}
 		for i := range controllers {
-			rec.Homes[team] = "stall-0"
-			rec.Homes[wire.PartName(team, i+1)] = fmt.Sprintf("stall-%d", i)
+			rec.Partitions[team] = "stall-0"
+			rec.Partitions[wire.ShardName(team, i+1)] = fmt.Sprintf("stall-%d", i)
 			rec.Shares[team][fmt.Sprintf("stall-%d", i)] = wire.Share{CPUs: 12345}
 		}
 	}
@@ -115,7 +115,7 @@
 	part := *rec
 	part.Blocks = map[string]wire.Block{}
 	for node, blk := range rec.Blocks {
-		blk.Machines, blk.Old, blk.Recall = nil, nil, nil
+		blk.Machines, blk.Unreconciled, blk.Draining = nil, nil, nil
 		part.Blocks[node] = blk
 	}
 	for done := false; !done; {
@@ -129,10 +129,10 @@
 			done = done && len(mine.Machines) == len(blk.Machines)
 			part.Blocks[node] = mine
 		}
-		part.Beat++
+		part.Sequence++
 		write(t, s, b, &part, lim)
 	}
-	rec.Beat = part.Beat
+	rec.Sequence = part.Sequence
 }
 
 func write(t testing.TB, s *shelf, b *Book, rec *wire.LeaseRecord, lim Limits) *Draft {
@@ -176,39 +176,39 @@
 				for _, set := range sets(&blk)[:2] {
 					*set = slices.DeleteFunc(slices.Clone(*set), func(n string) bool { return r.IntN(100) < share && budget.Leave(n) })
 				}
-				blk.Recall = nil
+				blk.Draining = nil
 			case 5: // taken over, as a whole
 				to := nodes[r.IntN(len(nodes))]
 				if to == node {
 					break
 				}
 				b := rec.Blocks[to]
-				b.Old = append(append(slices.Clone(b.Old), blk.Machines...), blk.Old...)
-				slices.Sort(b.Old)
+				b.Unreconciled = append(append(slices.Clone(b.Unreconciled), blk.Machines...), blk.Unreconciled...)
+				slices.Sort(b.Unreconciled)
 				rec.Blocks[to] = b
-				blk.Machines, blk.Old, blk.Recall = nil, nil, nil
+				blk.Machines, blk.Unreconciled, blk.Draining = nil, nil, nil
 			case 6: // restarted
-				blk.Old = append(slices.Clone(blk.Old), blk.Machines...)
-				slices.Sort(blk.Old)
+				blk.Unreconciled = append(slices.Clone(blk.Unreconciled), blk.Machines...)
+				slices.Sort(blk.Unreconciled)
 				blk.Machines = nil
 			case 7:
-				blk.Recall = nil
-				for _, n := range append(slices.Clone(blk.Machines), blk.Old...) {
-					if r.IntN(40) == 0 && len(blk.Recall) < 20 {
-						blk.Recall = append(blk.Recall, n)
+				blk.Draining = nil
+				for _, n := range append(slices.Clone(blk.Machines), blk.Unreconciled...) {
+					if r.IntN(40) == 0 && len(blk.Draining) < 20 {
+						blk.Draining = append(blk.Draining, n)
 					}
 				}
-				slices.Sort(blk.Recall)
+				slices.Sort(blk.Draining)
 			case 9: // all others end at once; nothing else is written with that
 				for _, dead := range nodes {
 					if dead != node {
 						b := rec.Blocks[dead]
-						blk.Old = append(append(slices.Clone(blk.Old), b.Machines...), b.Old...)
-						b.Machines, b.Old, b.Recall = nil, nil, nil
+						blk.Unreconciled = append(append(slices.Clone(blk.Unreconciled), b.Machines...), b.Unreconciled...)
+						b.Machines, b.Unreconciled, b.Draining = nil, nil, nil
 						rec.Blocks[dead] = b
 					}
 				}
-				slices.Sort(blk.Old)
+				slices.Sort(blk.Unreconciled)
 			case 8: // another leads
 				var err error
 				if writer, _, err = s.readAll(); err != nil && step > 0 {
@@ -216,7 +216,7 @@
 				}
 			}
 			rec.Blocks[node] = blk
-			rec.Beat++
+			rec.Sequence++
 			d := write(t, s, writer, rec, lim)
 			_, got, err := s.readAll()
 			if err != nil {
@@ -254,7 +254,7 @@
 	blk := rec.Blocks["stall-1"]
 	blk.Machines = blk.Machines[:len(blk.Machines)-1]
 	rec.Blocks["stall-1"] = blk
-	rec.Beat++
+	rec.Sequence++
 	d := write(t, s, b, rec, lim)
 	if len(d.Ops) != 2 {
 		t.Errorf("one machine less takes %d changes", len(d.Ops))
@@ -334,7 +334,7 @@
 			t.Fatalf("kept of what is unknown: %v", got.Unknown)
 		}
 		rec = &got
-		rec.Beat++
+		rec.Sequence++
 	}
 	if _, err := (&Book{Before: true}).Read(s.values[Key]); !errors.As(err, new(wire.FormError)) {
 		t.Errorf("from before levels: %v", err)
@@ -365,23 +365,23 @@
 				})
 				rec.Blocks[node] = blk
 			}
-			rec.Beat++
+			rec.Sequence++
 			write(t, s, b, rec, lim)
 		}
 		// A controller ends; its successor gets all of its machines.
 		dead, to := rec.Blocks["stall-1"], rec.Blocks["stall-2"]
-		to.Old, to.Recall = dead.Machines, dead.Machines[:150]
+		to.Unreconciled, to.Draining = dead.Machines, dead.Machines[:150]
 		delete(rec.Blocks, "stall-1")
 		rec.Blocks["stall-2"] = to
 		for team := range rec.Shares {
 			delete(rec.Shares[team], "stall-1")
 		}
-		for home, node := range rec.Homes {
+		for home, node := range rec.Partitions {
 			if node == "stall-1" {
-				rec.Homes[home] = "stall-2"
+				rec.Partitions[home] = "stall-2"
 			}
 		}
-		rec.Beat++
+		rec.Sequence++
 		d := write(t, s, b, rec, lim)
 		if len(d.Ops) != 1 {
 			t.Errorf("%d controllers: a takeover changes %d values", controllers, len(d.Ops))
@@ -415,7 +415,7 @@
 			blk := rec.Blocks["stall-3"]
 			blk.Machines = append(slices.Clone(blk.Machines[1:]), names(next, next+1)...)
 			rec.Blocks["stall-3"] = blk
-			rec.Beat++
+			rec.Sequence++
 			d, err := book.Write(rec, lim)
 			if err != nil {
 				b.Fatal(err)
--- a/internal/core/leasevalue/write.go
+++ b/internal/core/leasevalue/write.go
@@ -42,7 +42,7 @@
 
 // sets are the sets of a block, by kind.
 func sets(b *wire.Block) []*wire.NameSet {
-	return []*wire.NameSet{&b.Machines, &b.Old, &b.Recall}
+	return []*wire.NameSet{&b.Machines, &b.Unreconciled, &b.Draining}
 }
 
 // Budget counts the changes that a next draft may still take.
@@ -129,8 +129,8 @@
 		taken[next] = true
 		return next
 	}
-	h := head{Form: rec.Form, Level: rec.Level, Confirmed: rec.Confirmed, Generation: rec.Generation, Term: rec.Term, Leader: rec.Leader, Incarnation: rec.Incarnation, Grants: rec.Grants,
-		Beat: rec.Beat, Waiting: rec.Waiting}
+	h := head{Form: rec.Form, Level: rec.Level, Confirmed: rec.Confirmed, Generation: rec.Generation, Term: rec.Term, Leader: rec.Leader, Incarnation: rec.Incarnation, Grants: rec.LastGrant,
+		Beat: rec.Sequence, Waiting: rec.Waiting}
 	putHomes(rec, &h)
 	putShares(rec, &h)
 	write := func(n int, names []string) error {
@@ -138,7 +138,7 @@
 		if _, named := b.used[n]; named && slices.Equal(b.pages[n].names, names) {
 			return nil
 		}
-		d.pages[n] = page{rec.Beat, names}
+		d.pages[n] = page{rec.Sequence, names}
 		if len(d.pages) > lim.TxnOps-1 {
 			return fmt.Errorf("%w: more than %d changes", ErrFull, lim.TxnOps)
 		}
@@ -287,11 +287,11 @@
 // there may be dozens of them.
 func putHomes(rec *wire.LeaseRecord, h *head) {
 	nodes := slices.Sorted(maps.Keys(rec.Blocks))
-	h.Homes = maps.Clone(rec.Homes)
-	for _, team := range slices.Sorted(maps.Keys(rec.Homes)) {
+	h.Homes = maps.Clone(rec.Partitions)
+	for _, team := range slices.Sorted(maps.Keys(rec.Partitions)) {
 		for k := 1; ; k++ {
-			part := wire.PartName(team, k)
-			at, ok := slices.BinarySearch(nodes, rec.Homes[part])
+			part := wire.ShardName(team, k)
+			at, ok := slices.BinarySearch(nodes, rec.Partitions[part])
 			if !ok {
 				break
 			}
@@ -312,8 +312,8 @@
 		any := false
 		for i, node := range nodes {
 			s := rec.Shares[team][node]
-			cpus[i], cards[i] = s.CPUs, s.Cards
-			any = any || s.Cards > 0
+			cpus[i], cards[i] = s.CPUs, s.GPUs
+			any = any || s.GPUs > 0
 		}
 		if h.CPUs == nil {
 			h.CPUs = map[string][]int{}
--- a/internal/core/owner/bench_test.go
+++ b/internal/core/owner/bench_test.go
@@ -20,7 +20,7 @@
 				names = append(names, fmt.Sprintf("host-%06d", i))
 			}
 			o, now := newOwner(b, []config.Team{{Name: "red", CPUs: 4000, CPUsMax: 80000}}, wire.LeaseRecord{Term: 3, Leader: "n1",
-				Blocks: map[string]wire.Block{"n0": {Grant: 1 << 18, Incarnation: 7, Machines: names}}, Homes: map[string]string{"red": "n0"}})
+				Blocks: map[string]wire.Block{"n0": {Grant: 1 << 18, Incarnation: 7, Machines: names}}, Partitions: map[string]string{"red": "n0"}})
 			mayStart(o)
 			for i, name := range names {
 				m := o.machines[name]
--- a/internal/core/owner/fleet_test.go
+++ b/internal/core/owner/fleet_test.go
@@ -18,7 +18,7 @@
 		names = append(names, fmt.Sprintf("host-%06d", i+1))
 	}
 	o, now := newOwner(t, []config.Team{{Name: "free"}}, wire.LeaseRecord{Term: 3, Leader: "n1",
-		Blocks: map[string]wire.Block{"n0": {Grant: 1 << 18, Incarnation: 7, Machines: names}}, Homes: map[string]string{"free": "n0"}})
+		Blocks: map[string]wire.Block{"n0": {Grant: 1 << 18, Incarnation: 7, Machines: names}}, Partitions: map[string]string{"free": "n0"}})
 	mayStart(o)
 	var all []*machine
 	for i, name := range names {
@@ -47,14 +47,14 @@
 			o.loop.Begin(at)
 			mayStart(o)
 			for _, m := range all {
-				var tasks []wire.TaskReport
+				var tasks []wire.TaskStatus
 				for _, key := range sortedRuns(m) {
-					x := wire.TaskReport{Task: key.task, Attempt: key.attempt, State: wire.TaskRunning}
+					x := wire.TaskStatus{Task: key.task, Attempt: key.attempt, State: wire.TaskRunning}
 					if ends[key.task].IsZero() { // staggered, so that they never end together
 						ends[key.task] = at.Add(time.Duration(4+(len(ends)+offset)%7) * time.Second)
 					}
 					if key.task != "wk-000001/0" && !at.Before(ends[key.task]) {
-						x.State, x.Why = wire.TaskEnded, wire.WhyDone
+						x.State, x.Reason = wire.TaskEnded, wire.ReasonDone
 					}
 					tasks = append(tasks, x)
 				}
@@ -123,9 +123,9 @@
 		o.Known(o.view.Version, at)
 		o.loop.Begin(at)
 		mayStart(o)
-		var tasks []wire.TaskReport
+		var tasks []wire.TaskStatus
 		for _, key := range sortedRuns(m) {
-			tasks = append(tasks, wire.TaskReport{Task: key.task, Attempt: key.attempt, State: wire.TaskRunning})
+			tasks = append(tasks, wire.TaskStatus{Task: key.task, Attempt: key.attempt, State: wire.TaskRunning})
 		}
 		report(o, at, step.ReportIn{Req: 1, Report: reportOf(m, 1, uint64(s+1), o.tokenFor(m), tasks...)})
 		tick(o, at.Add(200*time.Millisecond))
@@ -157,12 +157,12 @@
 		o.Known(o.view.Version, at)
 		o.loop.Begin(at)
 		mayStart(o)
-		var tasks []wire.TaskReport
+		var tasks []wire.TaskStatus
 		for _, key := range sortedRuns(m) {
 			if attempts[key.attempt] = true; len(attempts) > 1 {
 				again = at.Sub(now)
 			}
-			tasks = append(tasks, wire.TaskReport{Task: key.task, Attempt: key.attempt, State: wire.TaskEnded, Why: wire.WhyError})
+			tasks = append(tasks, wire.TaskStatus{Task: key.task, Attempt: key.attempt, State: wire.TaskEnded, Reason: wire.ReasonError})
 		}
 		report(o, at, step.ReportIn{Req: 1, Report: reportOf(m, 1, uint64(s+1), o.tokenFor(m), tasks...)})
 		tick(o, at.Add(200*time.Millisecond))
--- a/internal/core/owner/forget_test.go
+++ b/internal/core/owner/forget_test.go
@@ -16,7 +16,7 @@
 func TestForgetWaitsUntilStored(t *testing.T) {
 	o, m, now := oneMachine(t, false)
 	putArray(o, "wk-000001", "standard", 2, 1, now)
-	done := wire.TaskReport{Task: "wk-000001/0", Attempt: 5, State: wire.TaskEnded, Why: wire.WhyDone}
+	done := wire.TaskStatus{Task: "wk-000001/0", Attempt: 5, State: wire.TaskEnded, Reason: wire.ReasonDone}
 	stored, writes := false, 0
 	for s := 1; s < 20; s++ {
 		at := now.Add(time.Duration(s) * time.Second)
@@ -25,7 +25,7 @@
 		forgotten := false
 		for _, e := range o.loop.Effects() {
 			if r, ok := e.(step.Reply); ok {
-				forgotten = slices.ContainsFunc(r.Body.(wire.ReportAnswer).Commands, func(c wire.Command) bool { return c.Op == wire.OpForget })
+				forgotten = slices.ContainsFunc(r.Body.(wire.HeartbeatAnswer).Commands, func(c wire.Command) bool { return c.Op == wire.CommandForget })
 			}
 		}
 		if forgotten != stored {
--- a/internal/core/owner/guards_test.go
+++ b/internal/core/owner/guards_test.go
@@ -15,12 +15,12 @@
 	t.Helper()
 	b := wire.Block{Grant: 1 << 18, Incarnation: 7}
 	if names := (wire.NameSet{"host-000001"}); old {
-		b.Old = names
+		b.Unreconciled = names
 	} else {
 		b.Machines = names
 	}
 	o, now := newOwner(t, []config.Team{{Name: "free"}}, wire.LeaseRecord{Term: 3, Leader: "n1",
-		Blocks: map[string]wire.Block{"n0": b}, Homes: map[string]string{"free": "n0"}})
+		Blocks: map[string]wire.Block{"n0": b}, Partitions: map[string]string{"free": "n0"}})
 	mayStart(o)
 	return o, o.machines["host-000001"], now
 }
@@ -28,12 +28,12 @@
 // putArray accepts an array.
 func putArray(o *Owner, id, priority string, tasks int, cpus float64, at time.Time) *Job {
 	o.Put(wire.JobRecord{Job: wire.Job{ID: id, Team: "free", Shape: wire.Array, Priority: priority, Tasks: tasks, CPUs: cpus, Spot: true},
-		AtMs: at.UnixMilli()}, Stamp{Version: 6})
+		SubmittedAtMs: at.UnixMilli()}, Stamp{Version: 6})
 	return o.jobs[id]
 }
 
-func reportOf(m *machine, session, seq, token uint64, tasks ...wire.TaskReport) wire.Report {
-	return wire.Report{Machine: m.name, Endpoint: "e", Type: "s4", Zone: "x", Session: session, Seq: seq, Token: token, Tasks: tasks}
+func reportOf(m *machine, session, seq, token uint64, tasks ...wire.TaskStatus) wire.Heartbeat {
+	return wire.Heartbeat{Machine: m.name, Endpoint: "e", Type: "s4", Zone: "x", AgentEpoch: session, Sequence: seq, Token: token, Tasks: tasks}
 }
 
 // TestLateCopyProvesNothing has a controller that has just taken a machine over
@@ -44,7 +44,7 @@
 	for _, old := range []bool{true, false} {
 		o, m, now := oneMachine(t, old)
 		j := putArray(o, "wk-000001", "standard", 3, 1, now)
-		tasks := []wire.TaskReport{{Task: "wk-000001/0", Attempt: 5, State: wire.TaskEnded, Why: wire.WhyDone},
+		tasks := []wire.TaskStatus{{Task: "wk-000001/0", Attempt: 5, State: wire.TaskEnded, Reason: wire.ReasonDone},
 			{Task: "wk-000001/1", Attempt: 6, State: wire.TaskRunning}}
 		heard := m.heard
 		report(o, now.Add(time.Second), step.ReportIn{Req: 1, Report: reportOf(m, 1, 90, m.fence-1, tasks...)})
@@ -63,7 +63,7 @@
 		}
 		for _, e := range o.loop.Effects() {
 			if r, ok := e.(step.Reply); ok {
-				if a := r.Body.(wire.ReportAnswer); len(a.Commands) > 0 {
+				if a := r.Body.(wire.HeartbeatAnswer); len(a.Commands) > 0 {
 					t.Errorf("the copy is answered with %v", a.Commands)
 				}
 			}
@@ -112,13 +112,13 @@
 		names = append(names, fmt.Sprintf("host-%06d", i+1))
 	}
 	o, now := newOwner(t, []config.Team{{Name: "free"}}, wire.LeaseRecord{Term: 3, Leader: "n1",
-		Blocks: map[string]wire.Block{"n0": {Grant: 1 << 18, Incarnation: 7, Machines: names}}, Homes: map[string]string{"free": "n0"}})
+		Blocks: map[string]wire.Block{"n0": {Grant: 1 << 18, Incarnation: 7, Machines: names}}, Partitions: map[string]string{"free": "n0"}})
 	mayStart(o)
 	// One machine has an error against it already, and the first errors of the
 	// mistaken job, before it is known for one, must not be the second.
 	o.machines[names[0]].errors = map[string]bool{"wk-000009/1": true}
 	mistaken := putArray(o, "wk-000001", "standard", 40, 1, now)
-	why, most := wire.WhyError, 0
+	why, most := wire.ReasonError, 0
 	seq := uint64(0)
 	for s := range 160 {
 		at := now.Add(time.Duration(s) * time.Second)
@@ -127,9 +127,9 @@
 		mayStart(o)
 		for _, name := range names {
 			m := o.machines[name]
-			var tasks []wire.TaskReport
+			var tasks []wire.TaskStatus
 			for _, key := range sortedRuns(m) {
-				tasks = append(tasks, wire.TaskReport{Task: key.task, Attempt: key.attempt, State: wire.TaskEnded, Why: why})
+				tasks = append(tasks, wire.TaskStatus{Task: key.task, Attempt: key.attempt, State: wire.TaskEnded, Reason: why})
 			}
 			seq++
 			report(o, at, step.ReportIn{Req: seq, Report: reportOf(m, 1, seq, o.tokenFor(m), tasks...)})
@@ -147,7 +147,7 @@
 			if !mistaken.doubtful() || most == 0 || most > doubtfulAtOnce {
 				t.Fatalf("at most %d attempts at once, doubtful: %v", most, mistaken.doubtful())
 			}
-			why = wire.WhyDone
+			why = wire.ReasonDone
 		}
 	}
 	if mistaken.doneCount < 20 {
@@ -169,14 +169,14 @@
 		o.Known(o.view.Version, at)
 		o.loop.Begin(at)
 		mayStart(o)
-		var tasks []wire.TaskReport
+		var tasks []wire.TaskStatus
 		for _, key := range sortedRuns(m) {
-			x := wire.TaskReport{Task: key.task, Attempt: key.attempt, State: wire.TaskRunning}
+			x := wire.TaskStatus{Task: key.task, Attempt: key.attempt, State: wire.TaskRunning}
 			if ends[key.task].IsZero() { // staggered, so that they never end together
 				ends[key.task] = at.Add(time.Duration(4+len(ends)%4) * time.Second)
 			}
 			if !at.Before(ends[key.task]) {
-				x.State, x.Why = wire.TaskEnded, wire.WhyDone
+				x.State, x.Reason = wire.TaskEnded, wire.ReasonDone
 			}
 			tasks = append(tasks, x)
 		}
@@ -233,9 +233,9 @@
 	rep := reportOf(m, 1, 1, m.fence)
 	for range 8 {
 		report(o, now, step.ReportIn{Req: 1, Report: rep})
-		rep.Seq, rep.Tasks = rep.Seq+1, nil
+		rep.Sequence, rep.Tasks = rep.Sequence+1, nil
 		for _, key := range sortedRuns(m) {
-			rep.Tasks = append(rep.Tasks, wire.TaskReport{Task: key.task, Attempt: key.attempt, State: wire.TaskEnded, Why: wire.WhyDone})
+			rep.Tasks = append(rep.Tasks, wire.TaskStatus{Task: key.task, Attempt: key.attempt, State: wire.TaskEnded, Reason: wire.ReasonDone})
 		}
 		now = now.Add(time.Second)
 	}
@@ -261,10 +261,10 @@
 }
 
 // answers are the tokens and commands with which reports were answered.
-func answers(effects []step.Effect) (out []wire.ReportAnswer) {
+func answers(effects []step.Effect) (out []wire.HeartbeatAnswer) {
 	for _, e := range effects {
 		if r, ok := e.(step.Reply); ok && r.Status == 200 {
-			out = append(out, r.Body.(wire.ReportAnswer))
+			out = append(out, r.Body.(wire.HeartbeatAnswer))
 		}
 	}
 	return out
@@ -335,7 +335,7 @@
 func TestGuestsTokenIsRaised(t *testing.T) {
 	for _, follows := range []bool{true, false} {
 		o, now := newOwner(t, []config.Team{{Name: "free"}}, wire.LeaseRecord{Term: 3, Leader: "n1",
-			Blocks: map[string]wire.Block{"n1": {Grant: 5, Incarnation: 7, Machines: wire.NameSet{"host-000001"}}}, Homes: map[string]string{"free": "n1"}})
+			Blocks: map[string]wire.Block{"n1": {Grant: 5, Incarnation: 7, Machines: wire.NameSet{"host-000001"}}}, Partitions: map[string]string{"free": "n1"}})
 		o.view.Peers["n1"].FollowsRaised = follows
 		first := uint64(5 << 24)
 		token, seq := first, uint64(10)
@@ -348,7 +348,7 @@
 			now = now.Add(c.after)
 			o.Known(o.view.Version, now)
 			seq += 1 + c.skips
-			report(o, now, step.ReportIn{Req: uint64(i), Report: wire.Report{Machine: "host-000001", Type: "s4", Session: 1, Seq: seq, Token: token}})
+			report(o, now, step.ReportIn{Req: uint64(i), Report: wire.Heartbeat{Machine: "host-000001", Type: "s4", AgentEpoch: 1, Sequence: seq, Token: token}})
 			got := answers(o.loop.Effects())
 			if len(got) != 1 {
 				t.Fatalf("follows %v, report %d: answers %+v", follows, i, got)
@@ -373,7 +373,7 @@
 		o.loop.Begin(at)
 		mayStart(o)
 		j := putArray(o, "wk-000001", "standard", 1, 1, now)
-		o.observe(m, &wire.Report{Machine: m.name, Endpoint: "e", Type: "s4", Zone: "x", Session: 1, Seq: 5, Token: m.fence}, true)
+		o.observe(m, &wire.Heartbeat{Machine: m.name, Endpoint: "e", Type: "s4", Zone: "x", AgentEpoch: 1, Sequence: 5, Token: m.fence}, true)
 		starts := 0
 		for _, e := range tick(o, at) {
 			if d, ok := e.(step.Direct); ok && len(d.Body.Commands) > 0 {
--- a/internal/core/owner/job.go
+++ b/internal/core/owner/job.go
@@ -53,7 +53,7 @@
 }
 
 // age is how long ago the job was submitted.
-func (j *Job) age(now time.Time) time.Duration { return now.Sub(time.UnixMilli(j.Rec.AtMs)) }
+func (j *Job) age(now time.Time) time.Duration { return now.Sub(time.UnixMilli(j.Rec.SubmittedAtMs)) }
 
 // Begun tells whether a task of the job was started, as far as is known here.
 func (j *Job) Begun() bool { return j.begun }
@@ -70,7 +70,7 @@
 var untold = [2]int{-1, -1}
 
 func (j *Job) need() sched.Amount {
-	return sched.Amount{CPUs: j.Rec.CPUs, Cards: j.Rec.Cards, MemoryGB: j.Rec.MemoryGB}
+	return sched.Amount{CPUs: j.Rec.CPUs, Cards: j.Rec.GPUs, MemoryGB: j.Rec.MemoryGB}
 }
 
 func (j *Job) running() int {
@@ -86,8 +86,8 @@
 // home is the key in the lease value at which the job's owner stands: its
 // team, or the part of the team's jobs that it was filed under.
 func (j *Job) home() string {
-	if j.Rec.Part != "" {
-		return j.Rec.Part
+	if j.Rec.Shard != "" {
+		return j.Rec.Shard
 	}
 	return j.Rec.Team
 }
--- a/internal/core/owner/malformed_test.go
+++ b/internal/core/owner/malformed_test.go
@@ -13,8 +13,8 @@
 // proves nothing: the task stays bound to its machine, until a report under a higher
 // token shows that the start is void. Only a refusal, by its status, frees it at once.
 func TestMalformedAnswersToCommands(t *testing.T) {
-	other := func(change func(r *wire.Report)) *wire.Report {
-		r := reportOf(&machine{name: "host-000009"}, 1, 90, 1<<62, wire.TaskReport{Task: "wk-000001/0", Attempt: 1, State: wire.TaskEnded, Why: wire.WhyDone})
+	other := func(change func(r *wire.Heartbeat)) *wire.Heartbeat {
+		r := reportOf(&machine{name: "host-000009"}, 1, 90, 1<<62, wire.TaskStatus{Task: "wk-000001/0", Attempt: 1, State: wire.TaskEnded, Reason: wire.ReasonDone})
 		change(&r)
 		return &r
 	}
@@ -23,13 +23,13 @@
 		freed  bool
 	}{
 		"200 and nothing":           {step.Completed{Status: 200}, false},
-		"200 with an empty report":  {step.Completed{Status: 200, Report: &wire.Report{}}, false},
-		"200 with another's report": {step.Completed{Status: 200, Report: other(func(*wire.Report) {})}, false},
-		"200 with nobody's report":  {step.Completed{Status: 200, Report: other(func(r *wire.Report) { r.Machine = "" })}, false},
-		"a status of its own":       {step.Completed{Status: 777, Report: other(func(r *wire.Report) { r.Machine = "host-000001" })}, false},
+		"200 with an empty report":  {step.Completed{Status: 200, Report: &wire.Heartbeat{}}, false},
+		"200 with another's report": {step.Completed{Status: 200, Report: other(func(*wire.Heartbeat) {})}, false},
+		"200 with nobody's report":  {step.Completed{Status: 200, Report: other(func(r *wire.Heartbeat) { r.Machine = "" })}, false},
+		"a status of its own":       {step.Completed{Status: 777, Report: other(func(r *wire.Heartbeat) { r.Machine = "host-000001" })}, false},
 		"no answer":                 {step.Completed{}, false},
 		"409 and nothing":           {step.Completed{Status: 409}, true},
-		"409 with another's report": {step.Completed{Status: 409, Report: other(func(*wire.Report) {})}, true},
+		"409 with another's report": {step.Completed{Status: 409, Report: other(func(*wire.Heartbeat) {})}, true},
 	} {
 		o, m, now := oneMachine(t, false)
 		report(o, now, step.ReportIn{Req: 1, Report: reportOf(m, 1, 1, m.fence)})
--- a/internal/core/owner/move.go
+++ b/internal/core/owner/move.go
@@ -48,7 +48,7 @@
 
 // Slots are, for each type, zone and kind of machine, those of the block with most room
 // of each resource.
-func (o *Owner) Slots() []*peerpb.Slot {
+func (o *Owner) Slots() []*peerpb.FreeSlot {
 	type group struct {
 		kind, zone string
 		spot, late bool
@@ -79,7 +79,7 @@
 			}
 		}
 	}
-	var out []*peerpb.Slot
+	var out []*peerpb.FreeSlot
 	for _, m := range o.machineOrder() {
 		_, late := o.opens(m, kept)
 		b := best[group{m.kind, m.zone, m.spot, late}]
@@ -88,8 +88,8 @@
 		}
 		if i := slices.IndexFunc(b[:], func(r roomiest) bool { return r.m == m }); i >= 0 {
 			free := b[i].free
-			out = append(out, &peerpb.Slot{Type: m.kind, Zone: m.zone, Spot: m.spot, Late: late,
-				Cpus: free.CPUs, Cards: free.Cards, MemoryGb: free.MemoryGB})
+			out = append(out, &peerpb.FreeSlot{Type: m.kind, Zone: m.zone, Spot: m.spot, OverdueOnly: late,
+				Cpus: free.CPUs, Gpus: free.Cards, MemoryGb: free.MemoryGB})
 		}
 	}
 	return out
@@ -196,12 +196,12 @@
 	o, team := l.o, j.Rec.Team
 	parts, known := l.parts[team]
 	if !known {
-		parts = cluster.Parts(o.view.Lease.Homes, team)
+		parts = cluster.Parts(o.view.Lease.Partitions, team)
 		l.parts[team] = parts
 	}
 	most := 0.0
 	for _, home := range parts {
-		to := o.view.Lease.Homes[home]
+		to := o.view.Lease.Partitions[home]
 		if to == o.view.Me || to == node || o.view.Peers[to] == nil {
 			continue
 		}
@@ -228,7 +228,7 @@
 // move has the job's record name a home of another controller.
 func (o *Owner) move(j *Job, node, part string) {
 	rec := j.Rec
-	rec.Part, rec.Owner = part, node
+	rec.Shard, rec.Owner = part, node
 	at := Stamp{}
 	if j.doneCount > 0 {
 		at.Born = 1 // older than any home: the new owner reads what is completed
@@ -249,7 +249,7 @@
 	key := o.records.Key(rec.ID)
 	j.leaving, j.beside = o.view.Version, time.Time{}
 	o.loop.Emit(step.StateTxn{
-		Txn: wire.Txn{If: append(o.records.Basis(), wire.Cond{Key: key, Version: j.Version}), Then: []wire.Op{{Put: key, Value: value}}},
+		Txn: wire.Txn{If: append(o.records.Basis(), wire.Condition{Key: key, Version: j.Version}), Then: []wire.Op{{Put: key, Value: value}}},
 		ID: o.loop.Call(func(d step.Completed) {
 			switch d.Status {
 			case 200:
--- a/internal/core/owner/move_test.go
+++ b/internal/core/owner/move_test.go
@@ -16,8 +16,8 @@
 func crowded(t *testing.T, old wire.NameSet) (o *Owner, waits *Job, now time.Time) {
 	t.Helper()
 	o, now = newOwner(t, []config.Team{{Name: "free"}}, wire.LeaseRecord{Term: 3, Leader: "n1", Blocks: map[string]wire.Block{
-		"n0": {Grant: 1 << 18, Incarnation: 7, Machines: wire.NameSet{"host-000001"}, Old: old}, "n1": {Grant: 1<<18 + 1, Incarnation: 7}},
-		Homes: map[string]string{"free": "n0", "free #1": "n0", "free #2": "n1"}})
+		"n0": {Grant: 1 << 18, Incarnation: 7, Machines: wire.NameSet{"host-000001"}, Unreconciled: old}, "n1": {Grant: 1<<18 + 1, Incarnation: 7}},
+		Partitions: map[string]string{"free": "n0", "free #1": "n0", "free #2": "n1"}})
 	mayStart(o)
 	m := o.machines["host-000001"]
 	report(o, now, step.ReportIn{Req: 1, Report: reportOf(m, 1, 1, m.fence)})
@@ -30,7 +30,7 @@
 // putPart has a job of one task stored, filed under the first part of its team.
 func putPart(o *Owner, id string, version uint64, cpus float64, at time.Time) *Job {
 	o.Put(wire.JobRecord{Job: wire.Job{ID: id, Team: "free", Shape: wire.Array, Priority: "urgent", Tasks: 1, CPUs: cpus, MemoryGB: 1},
-		Part: "free #1", Owner: "n0", AtMs: at.UnixMilli()}, Stamp{Version: version})
+		Shard: "free #1", Owner: "n0", SubmittedAtMs: at.UnixMilli()}, Stamp{Version: version})
 	return o.jobs[id]
 }
 
@@ -82,7 +82,7 @@
 		{"room for less", nil, func(o *Owner, j *Job) { o.view.Peers["n1"].Slots[0].Free.CPUs = 2 }, false},
 		{"room in another zone", nil, func(o *Owner, j *Job) { j.Rec.Zone = "x" }, false},
 		{"room on spot machines", nil, func(o *Owner, j *Job) { o.view.Peers["n1"].Slots[0].Spot = true }, false},
-		{"no home there", nil, func(o *Owner, j *Job) { delete(o.view.Lease.Homes, "free #2") }, false},
+		{"no home there", nil, func(o *Owner, j *Job) { delete(o.view.Lease.Partitions, "free #2") }, false},
 		{"an earlier version", nil, func(o *Owner, j *Job) { o.view.Peers["n1"].FollowsMoves = false }, false},
 		{"one is out of reach", nil, func(o *Owner, j *Job) { o.view.Peers["n2"] = &cluster.Peer{FollowsMoves: true} }, false},
 		{"the team is at its limit", nil, func(o *Owner, j *Job) { o.view.Cfg.Cluster.Teams[0].CPUsMax = 5 }, false},
@@ -154,13 +154,13 @@
 func TestTakenOverBeforeTheMoveIsSeen(t *testing.T) {
 	for _, moved := range []bool{false, true} {
 		o, now := newOwner(t, []config.Team{{Name: "free"}}, wire.LeaseRecord{Term: 3, Leader: "n1",
-			Blocks: map[string]wire.Block{"n0": {Grant: 1 << 18, Incarnation: 7, Machines: wire.NameSet{"host-000001"}}},
-			Homes:  map[string]string{"free #1": "n1", "free #2": "n1"}})
+			Blocks:     map[string]wire.Block{"n0": {Grant: 1 << 18, Incarnation: 7, Machines: wire.NameSet{"host-000001"}}},
+			Partitions: map[string]string{"free #1": "n1", "free #2": "n1"}})
 		m := o.machines["host-000001"]
 		report(o, now, step.ReportIn{Req: 1, Report: reportOf(m, 1, 1, m.fence)})
 		j := putPart(o, "wk-000001", 6, 1, now)
 		rec := o.view.Lease.Clone()
-		rec.Homes["free #1"] = "n0"
+		rec.Partitions["free #1"] = "n0"
 		o.view.Take(rec, 20)
 		o.Leased(rec.Blocks["n0"])
 		o.jobReady(j) // what earlier owners stored is read
@@ -179,7 +179,7 @@
 		}
 		if moved {
 			later := j.Rec
-			later.Part = "free #2"
+			later.Shard = "free #2"
 			o.Put(later, Stamp{Version: 15})
 		}
 		o.Known(20, now)
@@ -194,10 +194,10 @@
 func TestCompletedTasksAreReadFirst(t *testing.T) {
 	for _, born := range []uint64{0, 1} {
 		o, now := newOwner(t, []config.Team{{Name: "free"}}, wire.LeaseRecord{Term: 3, Leader: "n1",
-			Blocks: map[string]wire.Block{"n0": {Grant: 1 << 18, Incarnation: 7}}, Homes: map[string]string{"free #1": "n1", "free #2": "n0"}})
+			Blocks: map[string]wire.Block{"n0": {Grant: 1 << 18, Incarnation: 7}}, Partitions: map[string]string{"free #1": "n1", "free #2": "n0"}})
 		j := putPart(o, "wk-000001", 6, 1, now)
 		later := j.Rec
-		later.Part = "free #2"
+		later.Shard = "free #2"
 		if o.Put(later, Stamp{Version: 8, Born: born}); j.ready == (born == 1) || j.reading != (born == 1) {
 			t.Errorf("first stored under %d: ready %v, being read %v", born, j.ready, j.reading)
 		}
--- a/internal/core/owner/owner.go
+++ b/internal/core/owner/owner.go
@@ -34,7 +34,7 @@
 	// Key is where a job's record is stored.
 	Key(id string) string
 	// Basis are the conditions under which the lease value has not changed since.
-	Basis() []wire.Cond
+	Basis() []wire.Condition
 	// Users tells how many submissions are being stored, and when one last found
 	// no room in the write limit.
 	Users() (pending int, short time.Time)
@@ -156,13 +156,13 @@
 		}
 		o.jobs[rec.ID] = j
 		if rec.Shape != wire.Daemon { // one is never done; its processors are taken off what there is
-			o.inflow.Add(time.UnixMilli(rec.AtMs), float64(rec.Tasks)*rec.CPUs*max(1, o.runSeconds(&rec)))
+			o.inflow.Add(time.UnixMilli(rec.SubmittedAtMs), float64(rec.Tasks)*rec.CPUs*max(1, o.runSeconds(&rec)))
 		}
 	}
 	if at.Version <= j.Version {
 		return
 	}
-	mine, moved := o.Owns(j), j.Version != 0 && j.Rec.Part != rec.Part
+	mine, moved := o.Owns(j), j.Version != 0 && j.Rec.Shard != rec.Shard
 	j.Rec, j.Version, j.form = rec, at.Version, at.Form
 	if moved {
 		o.moved(j, at, mine)
@@ -198,17 +198,17 @@
 // Leased takes in a newer lease value, in which the block is this process's:
 // the machines it holds, those that are recalled, and the homes that it has.
 func (o *Owner) Leased(b wire.Block) {
-	held := make(map[string]bool, len(b.Machines)+len(b.Old))
+	held := make(map[string]bool, len(b.Machines)+len(b.Unreconciled))
 	for _, name := range b.Machines {
 		held[name] = true
 		o.take(name, false)
 	}
-	for _, name := range b.Old {
+	for _, name := range b.Unreconciled {
 		held[name] = true
 		o.take(name, true)
 	}
 	recalled := map[string]bool{}
-	for _, name := range b.Recall {
+	for _, name := range b.Draining {
 		recalled[name] = true
 	}
 	for name, m := range o.machines {
@@ -262,12 +262,12 @@
 	if !dirty {
 		m.kind, m.zone, m.spot = g.rep.Type, g.rep.Zone, g.rep.Spot
 	}
-	o.introduce(m, &peerpb.Seen{Endpoint: g.rep.Endpoint, Type: g.rep.Type, Zone: g.rep.Zone, Spot: g.rep.Spot, Session: g.rep.Session})
+	o.introduce(m, &peerpb.MachineInfo{Endpoint: g.rep.Endpoint, Type: g.rep.Type, Zone: g.rep.Zone, Spot: g.rep.Spot, AgentEpoch: g.rep.AgentEpoch})
 }
 
 // settle takes over the homes that the lease value gives this controller.
 func (o *Owner) settle() {
-	homes := o.view.Lease.Homes
+	homes := o.view.Lease.Partitions
 	for home := range o.homes {
 		if homes[home] != o.view.Me {
 			delete(o.homes, home)
--- a/internal/core/owner/owner_test.go
+++ b/internal/core/owner/owner_test.go
@@ -24,7 +24,7 @@
 func (noRecords) Ended(string) bool                        { return false }
 func (noRecords) End(*Job, string, int, func(stored bool)) {}
 func (noRecords) Key(id string) string                     { return "fc/j/" + id }
-func (noRecords) Basis() []wire.Cond                       { return nil }
+func (noRecords) Basis() []wire.Condition                  { return nil }
 func (noRecords) Users() (int, time.Time)                  { return 0, time.Time{} }
 
 // newOwner returns an owner to whom the lease value grants what it says of n0.
@@ -81,8 +81,8 @@
 // started elsewhere while it still ran them.
 func TestUnheardMachineIsNotGivenBack(t *testing.T) {
 	c, now := newOwner(t, []config.Team{{Name: "free"}}, wire.LeaseRecord{Term: 3, Leader: "n1",
-		Blocks: map[string]wire.Block{"n0": {Grant: 1 << 18, Incarnation: 7, Old: wire.NameSet{"host-000001"}, Recall: wire.NameSet{"host-000001"}}},
-		Homes:  map[string]string{"free": "n0"}})
+		Blocks:     map[string]wire.Block{"n0": {Grant: 1 << 18, Incarnation: 7, Unreconciled: wire.NameSet{"host-000001"}, Draining: wire.NameSet{"host-000001"}}},
+		Partitions: map[string]string{"free": "n0"}})
 	m := c.machines["host-000001"]
 	if m == nil || !m.dirty || !m.recall {
 		t.Fatalf("not taken over as it should: %+v", m)
@@ -91,13 +91,13 @@
 	if m.gave {
 		t.Fatal("given back before it was heard")
 	}
-	r := wire.Report{Machine: m.name, Endpoint: "10.1.0.1:9000", Type: "s4", Zone: "x", Session: 1, Seq: 3}
+	r := wire.Heartbeat{Machine: m.name, Endpoint: "10.1.0.1:9000", Type: "s4", Zone: "x", AgentEpoch: 1, Sequence: 3}
 	report(c, now.Add(2*time.Second), step.ReportIn{Req: 1, Report: r}) // from before it saw our token
 	tick(c, now.Add(2100*time.Millisecond))
 	if m.gave {
 		t.Fatal("given back before it had seen the new token")
 	}
-	r.Seq, r.Token = 4, c.tokenFor(m)
+	r.Sequence, r.Token = 4, c.tokenFor(m)
 	c.fresh = now.Add(2 * time.Second)
 	report(c, now.Add(3*time.Second), step.ReportIn{Req: 2, Report: r})
 	tick(c, now.Add(3200*time.Millisecond))
@@ -109,7 +109,7 @@
 // TestPagesHoldManyJobs stores the completed tasks of many jobs in one page,
 // and finds them again in another controller's hands.
 func TestPagesHoldManyJobs(t *testing.T) {
-	lease := wire.LeaseRecord{Term: 3, Leader: "n1", Homes: map[string]string{"free": "n0"},
+	lease := wire.LeaseRecord{Term: 3, Leader: "n1", Partitions: map[string]string{"free": "n0"},
 		Blocks: map[string]wire.Block{"n0": {Grant: 1 << 18, Incarnation: 7}}}
 	job := func(i int) wire.JobRecord {
 		return wire.JobRecord{Job: wire.Job{ID: fmt.Sprintf("wk-%06d", i), Team: "free", Shape: wire.Array,
@@ -167,14 +167,14 @@
 			names = append(names, fmt.Sprintf("host-%06d", i))
 		}
 		core, now := newOwner(t, []config.Team{{Name: "free"}}, wire.LeaseRecord{Term: 3, Leader: "n1",
-			Blocks: map[string]wire.Block{"n0": {Grant: 1 << 18, Incarnation: 7, Machines: names}}, Homes: map[string]string{"free": "n0"}})
+			Blocks: map[string]wire.Block{"n0": {Grant: 1 << 18, Incarnation: 7, Machines: names}}, Partitions: map[string]string{"free": "n0"}})
 		for s := range 13 { // the last report is 11.1 s old at the end, the lease 12 s
 			now = now.Add(time.Second)
 			core.fresh = now
 			for i, name := range names {
 				if i >= c.silent || s < 2 {
-					report(core, now, step.ReportIn{Req: 1, Report: wire.Report{Machine: name, Endpoint: "e", Type: "s4", Zone: []string{"x", "y"}[i%2],
-						Spot: i < c.spot, Session: 1, Seq: uint64(s + 1), Token: core.tokenFor(core.machines[name])}})
+					report(core, now, step.ReportIn{Req: 1, Report: wire.Heartbeat{Machine: name, Endpoint: "e", Type: "s4", Zone: []string{"x", "y"}[i%2],
+						Spot: i < c.spot, AgentEpoch: 1, Sequence: uint64(s + 1), Token: core.tokenFor(core.machines[name])}})
 				}
 			}
 			tick(core, now.Add(100*time.Millisecond))
@@ -201,14 +201,14 @@
 		names = append(names, fmt.Sprintf("host-%06d", i))
 	}
 	core, now := newOwner(t, []config.Team{{Name: "free"}}, wire.LeaseRecord{Term: 3, Leader: "n1",
-		Blocks: map[string]wire.Block{"n0": {Grant: 1 << 18, Incarnation: 7, Machines: names}}, Homes: map[string]string{"free": "n0"}})
+		Blocks: map[string]wire.Block{"n0": {Grant: 1 << 18, Incarnation: 7, Machines: names}}, Partitions: map[string]string{"free": "n0"}})
 	for s := range 26 { // silent from 2 s to 22 s, which is well beyond a lease
 		now = now.Add(time.Second)
 		core.fresh = now
 		for i, name := range names {
 			if back := s - 22; s < 2 || i < 4*back {
-				report(core, now, step.ReportIn{Req: 1, Report: wire.Report{Machine: name, Endpoint: "e", Type: "s4", Zone: "x",
-					Session: 1, Seq: uint64(s + 1), Token: core.tokenFor(core.machines[name])}})
+				report(core, now, step.ReportIn{Req: 1, Report: wire.Heartbeat{Machine: name, Endpoint: "e", Type: "s4", Zone: "x",
+					AgentEpoch: 1, Sequence: uint64(s + 1), Token: core.tokenFor(core.machines[name])}})
 			}
 		}
 		tick(core, now.Add(100*time.Millisecond))
@@ -232,8 +232,8 @@
 // heard or gone; a service that may not use spot machines does not.
 func TestOnlyWhatMayRunThereWaits(t *testing.T) {
 	c, now := newOwner(t, []config.Team{{Name: "free"}}, wire.LeaseRecord{Term: 3, Leader: "n1",
-		Blocks: map[string]wire.Block{"n0": {Grant: 1 << 18, Incarnation: 7, Old: wire.NameSet{"host-000001", "host-000002"}}},
-		Homes:  map[string]string{"free": "n0"}})
+		Blocks:     map[string]wire.Block{"n0": {Grant: 1 << 18, Incarnation: 7, Unreconciled: wire.NameSet{"host-000001", "host-000002"}}},
+		Partitions: map[string]string{"free": "n0"}})
 	mayStart(c)
 	job := func(id string, shape wire.Shape, spot bool) *Job {
 		c.Put(wire.JobRecord{Job: wire.Job{ID: id, Team: "free", Shape: shape, Priority: "standard", Tasks: 1, CPUs: 1, Spot: spot}}, Stamp{Version: 3})
@@ -244,12 +244,12 @@
 	}
 	service, array := job("wk-000001", wire.Daemon, false), job("wk-000002", wire.Array, true)
 	ordinary, spot := c.machines["host-000001"], c.machines["host-000002"]
-	r := wire.Report{Machine: ordinary.name, Endpoint: "e1", Type: "s4", Zone: "x", Session: 1, Seq: 3, Token: c.tokenFor(ordinary)}
+	r := wire.Heartbeat{Machine: ordinary.name, Endpoint: "e1", Type: "s4", Zone: "x", AgentEpoch: 1, Sequence: 3, Token: c.tokenFor(ordinary)}
 	report(c, now.Add(time.Second), step.ReportIn{Req: 1, Report: r})
 	if len(service.runs) != 0 || len(array.runs) != 0 {
 		t.Fatal("started though a machine may run anything")
 	}
-	c.introduce(spot, &peerpb.Seen{Endpoint: "e2", Type: "s4", Zone: "x", Spot: true})
+	c.introduce(spot, &peerpb.MachineInfo{Endpoint: "e2", Type: "s4", Zone: "x", Spot: true})
 	c.placeDue = true
 	tick(c, now.Add(2*time.Second))
 	if len(service.runs) != 1 {
@@ -270,7 +270,7 @@
 			names = append(names, fmt.Sprintf("host-%06d", i))
 		}
 		c, now := newOwner(t, []config.Team{{Name: "free"}}, wire.LeaseRecord{Term: 3, Leader: "n1",
-			Blocks: map[string]wire.Block{"n0": {Grant: 1 << 18, Incarnation: 7, Machines: names}}, Homes: map[string]string{"free": "n0"}})
+			Blocks: map[string]wire.Block{"n0": {Grant: 1 << 18, Incarnation: 7, Machines: names}}, Partitions: map[string]string{"free": "n0"}})
 		mayStart(c)
 		asked := 0
 		var answer []step.Completed
@@ -282,7 +282,7 @@
 			}
 			answer = nil
 			for i, name := range names {
-				rep := wire.Report{Machine: name, Endpoint: name, Type: "s4", Zone: "x", Spot: i == 0, Session: 1, Seq: uint64(s + 1), Token: c.tokenFor(c.machines[name])}
+				rep := wire.Heartbeat{Machine: name, Endpoint: name, Type: "s4", Zone: "x", Spot: i == 0, AgentEpoch: 1, Sequence: uint64(s + 1), Token: c.tokenFor(c.machines[name])}
 				if i > 0 || s < 2 {
 					report(c, now, step.ReportIn{Req: 1, Report: rep})
 				}
@@ -293,7 +293,7 @@
 					done := step.Completed{ID: d.ID}
 					if answers {
 						done.Status = 200
-						done.Report = &wire.Report{Machine: names[0], Endpoint: names[0], Type: "s4", Zone: "x", Spot: true, Session: 1, Seq: uint64(100 + s), Token: d.Body.Token}
+						done.Report = &wire.Heartbeat{Machine: names[0], Endpoint: names[0], Type: "s4", Zone: "x", Spot: true, AgentEpoch: 1, Sequence: uint64(100 + s), Token: d.Body.Token}
 					}
 					answer = append(answer, done)
 				}
@@ -314,14 +314,14 @@
 func TestServicesFindRoom(t *testing.T) {
 	for _, spot := range []bool{true, false} {
 		c, now := newOwner(t, []config.Team{{Name: "free"}}, wire.LeaseRecord{Term: 3, Leader: "n1",
-			Blocks: map[string]wire.Block{"n0": {Grant: 1 << 18, Incarnation: 7, Machines: wire.NameSet{"host-000001"}}}, Homes: map[string]string{"free": "n0"}})
+			Blocks: map[string]wire.Block{"n0": {Grant: 1 << 18, Incarnation: 7, Machines: wire.NameSet{"host-000001"}}}, Partitions: map[string]string{"free": "n0"}})
 		mayStart(c)
 		submit := func(id string, shape wire.Shape, priority string, tasks int, spot bool) *Job {
 			c.Put(wire.JobRecord{Job: wire.Job{ID: id, Team: "free", Shape: shape, Priority: priority, Tasks: tasks, CPUs: 1, Spot: spot}}, Stamp{Version: 6})
 			return c.jobs[id]
 		}
 		urgent := submit("wk-000001", wire.Array, "urgent", 40, spot)
-		report(c, now.Add(time.Second), step.ReportIn{Req: 1, Report: wire.Report{Machine: "host-000001", Endpoint: "e", Type: "s4", Zone: "x", Session: 1, Seq: 3, Token: c.hold.Token(0)}})
+		report(c, now.Add(time.Second), step.ReportIn{Req: 1, Report: wire.Heartbeat{Machine: "host-000001", Endpoint: "e", Type: "s4", Zone: "x", AgentEpoch: 1, Sequence: 3, Token: c.hold.Token(0)}})
 		if len(urgent.runs) != 4 {
 			t.Fatalf("%d urgent tasks started, want 4", len(urgent.runs))
 		}
@@ -343,8 +343,8 @@
 // twoHomes is a lease value in which n0 has three homes of a team and n1 one.
 func twoHomes(old wire.NameSet) wire.LeaseRecord {
 	return wire.LeaseRecord{Term: 3, Leader: "n1",
-		Homes: map[string]string{"red #1": "n0", "red #2": "n0", "red #3": "n0", "red #4": "n1"},
-		Blocks: map[string]wire.Block{"n0": {Grant: 1 << 18, Incarnation: 7, Machines: wire.NameSet{"host-000001"}, Old: old},
+		Partitions: map[string]string{"red #1": "n0", "red #2": "n0", "red #3": "n0", "red #4": "n1"},
+		Blocks: map[string]wire.Block{"n0": {Grant: 1 << 18, Incarnation: 7, Machines: wire.NameSet{"host-000001"}, Unreconciled: old},
 			"n1": {Grant: 1<<18 + 1, Incarnation: 9}}}
 }
 
@@ -371,7 +371,7 @@
 	} {
 		o, now := newOwner(t, []config.Team{{Name: "red"}}, twoHomes(c.old))
 		o.view.Peers["n1"].Heard = now
-		o.Put(wire.JobRecord{Job: wire.Job{ID: "wk-000001", Team: "red", Shape: wire.Array, Priority: "standard", Tasks: 8, CPUs: 1}, Part: "red #3"}, Stamp{Version: 9})
+		o.Put(wire.JobRecord{Job: wire.Job{ID: "wk-000001", Team: "red", Shape: wire.Array, Priority: "standard", Tasks: 8, CPUs: 1}, Shard: "red #3"}, Stamp{Version: 9})
 		c.do(o, o.jobs["wk-000001"])
 		if got := o.yields(); !slices.Equal(got, c.want) {
 			t.Errorf("%s: offers %v, want %v", c.name, got, c.want)
@@ -389,12 +389,12 @@
 	mayStart(o)
 	m := o.machines["host-000001"]
 	m.kind, m.zone, m.session, m.endpoint, m.size = "s4", "x", 1, "e", sched.Amount{CPUs: 4, MemoryGB: 16}
-	o.Put(wire.JobRecord{Job: wire.Job{ID: "wk-000001", Team: "red", Shape: wire.Array, Priority: "standard", Tasks: 8, CPUs: 1}, Part: "red #3"}, Stamp{Version: 9})
+	o.Put(wire.JobRecord{Job: wire.Job{ID: "wk-000001", Team: "red", Shape: wire.Array, Priority: "standard", Tasks: 8, CPUs: 1}, Shard: "red #3"}, Stamp{Version: 9})
 	j := o.jobs["wk-000001"]
 	r := &peerpb.Renewal{Number: o.hold.Sent(now)}
 	o.Promise(r)
-	if !slices.Equal(r.Yields, []string{"red #3"}) || r.Grant != 1<<18 {
-		t.Fatalf("offers %v under grant %d", r.Yields, r.Grant)
+	if !slices.Equal(r.Handovers, []string{"red #3"}) || r.Grant != 1<<18 {
+		t.Fatalf("offers %v under grant %d", r.Handovers, r.Grant)
 	}
 	o.place()
 	if len(j.runs) > 0 {
@@ -405,7 +405,7 @@
 		next := rec.Clone()
 		b := next.Blocks["n0"]
 		b.Renewal = r.Number
-		next.Blocks["n0"], next.Homes["red #3"] = b, node
+		next.Blocks["n0"], next.Partitions["red #3"] = b, node
 		o.view.Take(next, version)
 		o.hold.Granted(b)
 		o.Leased(b)
--- a/internal/core/owner/pages.go
+++ b/internal/core/owner/pages.go
@@ -145,7 +145,7 @@
 	o.loop.Emit(step.StateTxn{
 		// Under the version it was based on: a late transaction of an earlier
 		// process, or an earlier try, cannot take anything back.
-		Txn: wire.Txn{If: []wire.Cond{{Key: key, Version: p.version}}, Then: []wire.Op{{Put: key, Value: stored}}},
+		Txn: wire.Txn{If: []wire.Condition{{Key: key, Version: p.version}}, Then: []wire.Op{{Put: key, Value: stored}}},
 		ID: o.loop.Call(func(d step.Completed) {
 			p.busy = false
 			if d.Status == 200 {
--- a/internal/core/owner/place.go
+++ b/internal/core/owner/place.go
@@ -33,7 +33,7 @@
 			Borrowing: o.borrowing(j),
 			Rating:    sched.Rate(successorKind(&j.Rec), o.view.Lease.Waiting, o.view.Par.K2),
 			Due:       o.dueStart(j),
-			Arrival:   j.Rec.AtMs,
+			Arrival:   j.Rec.SubmittedAtMs,
 			ID:        j.Rec.ID,
 		}})
 	}
@@ -56,7 +56,7 @@
 // done now yields to those that can still make it.
 func (o *Owner) dueStart(j *Job) int64 {
 	run := o.runSeconds(&j.Rec)
-	waited := float64(o.loop.Now.UnixMilli()-j.Rec.AtMs) / 1000
+	waited := float64(o.loop.Now.UnixMilli()-j.Rec.SubmittedAtMs) / 1000
 	best := math.Inf(1)
 	consider := func(within float64) {
 		// Estimates are off: a fifth of the run time is given the benefit of
@@ -80,7 +80,7 @@
 	if math.IsInf(best, 1) {
 		best = noDeadline
 	}
-	return j.Rec.AtMs + int64(1000*best)
+	return j.Rec.SubmittedAtMs + int64(1000*best)
 }
 
 // runsMost bounds the attempts on a machine, ended ones that its worker has not
--- a/internal/core/owner/rewrite.go
+++ b/internal/core/owner/rewrite.go
@@ -110,7 +110,7 @@
 			break
 		}
 		key := o.records.Key(j.Rec.ID)
-		txn.If = append(txn.If, wire.Cond{Key: key, Version: j.Version})
+		txn.If = append(txn.If, wire.Condition{Key: key, Version: j.Version})
 		txn.Then = append(txn.Then, wire.Op{Put: key, Value: value})
 		batch = append(batch, j)
 		r.queue = r.queue[1:]
@@ -194,7 +194,7 @@
 // openPage takes a page's entries out of their envelope. A page without a value is
 // one without entries.
 func (o *Owner) openPage(key string, value []byte) (env wire.Envelope, entries map[string]string, err error) {
-	if wire.Missing(value) {
+	if wire.IsAbsent(value) {
 		return env, nil, nil
 	}
 	if env, err = o.view.Unwrap(key, value); err != nil {
--- a/internal/core/owner/rewrite_test.go
+++ b/internal/core/owner/rewrite_test.go
@@ -15,7 +15,7 @@
 // rewriter is an owner of five jobs that were stored before there were
 // envelopes, in a cluster where the gate is open.
 func rewriter(t *testing.T) (*Owner, time.Time) {
-	rec := wire.LeaseRecord{Form: leasevalue.Form, Level: 2, Confirmed: 2, Generation: 3, Term: 1, Leader: "n1", Homes: map[string]string{"red": "n0"},
+	rec := wire.LeaseRecord{Form: leasevalue.Form, Level: 2, Confirmed: 2, Generation: 3, Term: 1, Leader: "n1", Partitions: map[string]string{"red": "n0"},
 		Blocks: map[string]wire.Block{"n0": {Grant: 1 << 18, Incarnation: 7}}}
 	o, now := newOwner(t, []config.Team{{Name: "red"}}, rec)
 	o.hold.Sent(now)
@@ -55,8 +55,8 @@
 	}
 	for i, op := range x.Txn.Then {
 		env := op.Value.(wire.Envelope)
-		if want := (wire.Cond{Key: op.Put, Version: uint64(100 + i)}); x.Txn.If[i] != want || env.Born != want.Version || env.Generation != 3 {
-			t.Errorf("%s: under %+v, born %d, generation %d", op.Put, x.Txn.If[i], env.Born, env.Generation)
+		if want := (wire.Condition{Key: op.Put, Version: uint64(100 + i)}); x.Txn.If[i] != want || env.FirstVersion != want.Version || env.Generation != 3 {
+			t.Errorf("%s: under %+v, born %d, generation %d", op.Put, x.Txn.If[i], env.FirstVersion, env.Generation)
 		}
 		if kept, err := wire.UnknownFields(env.Value, wire.JobRecord{}); err != nil || len(kept) != 1 {
 			t.Errorf("%s: kept %v, %v", op.Put, kept, err)
@@ -68,7 +68,7 @@
 	}
 	// A later process finds the record rewritten after it took the home over:
 	// the job is as old as it was.
-	b, _ := newOwner(t, []config.Team{{Name: "red"}}, wire.LeaseRecord{Term: 1, Leader: "n1", Homes: map[string]string{"red": "n0"},
+	b, _ := newOwner(t, []config.Team{{Name: "red"}}, wire.LeaseRecord{Term: 1, Leader: "n1", Partitions: map[string]string{"red": "n0"},
 		Blocks: map[string]wire.Block{"n0": {Grant: 1 << 18, Incarnation: 7}}})
 	b.homes["red"] = 150
 	b.Put(wire.JobRecord{Job: wire.Job{ID: "wk-000001", Team: "red", Shape: wire.Array, Tasks: 1, CPUs: 1}}, Stamp{Version: 200, Born: 101, Form: 1})
--- a/internal/core/owner/tell.go
+++ b/internal/core/owner/tell.go
@@ -44,12 +44,12 @@
 		if !m.spot && m.bound() {
 			bound = append(bound, name)
 		}
-		u := &peerpb.Use{Name: name, Bad: m.bad, Going: !m.gone.IsZero() || m.missed}
+		u := &peerpb.MachineUse{Name: name, Quarantined: m.bad, Departing: !m.gone.IsZero() || m.missed}
 		if !m.idle.IsZero() && m.session != 0 {
 			u.IdleS = o.loop.Now.Sub(m.idle).Seconds()
 		}
-		if u.Bad || u.Going || u.IdleS > 1 {
-			r.Use = append(r.Use, u)
+		if u.Quarantined || u.Departing || u.IdleS > 1 {
+			r.MachineUse = append(r.MachineUse, u)
 		}
 	}
 	for _, name := range cluster.SortedKeys(o.guests) {
@@ -58,14 +58,14 @@
 			continue
 		}
 		if o.view.OwnerOf(name) == "" {
-			r.Seen = append(r.Seen, &peerpb.Seen{Name: name, Endpoint: g.rep.Endpoint,
-				Type: g.rep.Type, Zone: g.rep.Zone, Spot: g.rep.Spot, Session: g.rep.Session})
+			r.KnownMachines = append(r.KnownMachines, &peerpb.MachineInfo{Name: name, Endpoint: g.rep.Endpoint,
+				Type: g.rep.Type, Zone: g.rep.Zone, Spot: g.rep.Spot, AgentEpoch: g.rep.AgentEpoch})
 		} else {
 			heard = append(heard, name)
 		}
 	}
-	r.Gave, r.Lost, r.Heard = wire.PackNames(gave), wire.PackNames(lost), wire.PackNames(heard)
-	r.Unknown, r.Bound = wire.PackNames(unknown), wire.PackNames(bound)
+	r.Released, r.SilentMachines, r.Reconciled = wire.PackNames(gave), wire.PackNames(lost), wire.PackNames(heard)
+	r.UnknownEndpoints, r.OnDemandOnly = wire.PackNames(unknown), wire.PackNames(bound)
 	for _, j := range o.jobs {
 		if !o.Owns(j) || j.Over || len(j.queue) == 0 {
 			continue
@@ -100,7 +100,7 @@
 			o.overdue(j)
 		list = append(list, sched.Demand{Rank: j.Rec.Rank(), Need: o.coarse(j), Types: j.Rec.Types,
 			Zone: j.Rec.Zone, Spot: j.Rec.Spot, Count: n, RunS: o.runSeconds(&j.Rec),
-			Whole: j.Rec.Shape != wire.Array || long, Starved: long,
+			ProvisionAll: j.Rec.Shape != wire.Array || long, Starved: long,
 			SlackS: float64(o.dueStart(j)-o.loop.Now.UnixMilli()) / 1000})
 	}
 	var out []*peerpb.Demand
@@ -108,9 +108,9 @@
 		if len(out) == demandMost {
 			break
 		}
-		out = append(out, &peerpb.Demand{Rank: int32(d.Rank), Cpus: d.Need.CPUs, Cards: d.Need.Cards,
+		out = append(out, &peerpb.Demand{Rank: int32(d.Rank), Cpus: d.Need.CPUs, Gpus: d.Need.Cards,
 			MemoryGb: d.Need.MemoryGB, Types: d.Types, Zone: d.Zone, Spot: d.Spot,
-			Count: int32(d.Count), RunS: d.RunS, Whole: d.Whole, Starved: d.Starved, SlackS: d.SlackS})
+			Count: int32(d.Count), RunS: d.RunS, ProvisionAll: d.ProvisionAll, Starved: d.Starved, SlackS: d.SlackS})
 	}
 	return out
 }
@@ -223,7 +223,7 @@
 func (o *Owner) Inflow() float64 { return o.inflow.Rate(o.loop.Now) }
 
 // Introduce learns how to reach machines that have not reported yet.
-func (o *Owner) Introduce(seen func(name string) *peerpb.Seen) {
+func (o *Owner) Introduce(seen func(name string) *peerpb.MachineInfo) {
 	for name, m := range o.machines {
 		if m.endpoint != "" {
 			continue
@@ -239,15 +239,15 @@
 const newsMost = 4000
 
 // News lists the counts of jobs that have changed since they were last told.
-func (o *Owner) News() []*peerpb.Progress {
-	var out []*peerpb.Progress
+func (o *Owner) News() []*peerpb.JobProgress {
+	var out []*peerpb.JobProgress
 	for _, j := range o.jobs {
 		done, running := j.Counts()
 		if o.Owns(j) && j.shown != [2]int{done, running} {
-			out = append(out, &peerpb.Progress{Id: j.Rec.ID, Done: int32(done), Running: int32(running)})
+			out = append(out, &peerpb.JobProgress{Id: j.Rec.ID, Done: int32(done), Running: int32(running)})
 		}
 	}
-	slices.SortFunc(out, func(a, b *peerpb.Progress) int { return strings.Compare(a.GetId(), b.GetId()) })
+	slices.SortFunc(out, func(a, b *peerpb.JobProgress) int { return strings.Compare(a.GetId(), b.GetId()) })
 	out = out[:min(len(out), newsMost)]
 	for _, g := range out {
 		o.jobs[g.GetId()].shown = [2]int{int(g.GetDone()), int(g.GetRunning())}
@@ -266,7 +266,7 @@
 }
 
 // Meet learns from others how to reach machines of the block.
-func (o *Owner) Meet(known []*peerpb.Seen) {
+func (o *Owner) Meet(known []*peerpb.MachineInfo) {
 	for _, k := range known {
 		if m := o.machines[k.GetName()]; m != nil {
 			o.introduce(m, k)
--- a/internal/core/owner/uses.go
+++ b/internal/core/owner/uses.go
@@ -32,7 +32,7 @@
 		l.CPUs = max(nothing, float64(s.CPUs))
 	}
 	if l.Cards > 0 {
-		l.Cards = max(nothing, float64(s.Cards))
+		l.Cards = max(nothing, float64(s.GPUs))
 	}
 	return l
 }
@@ -43,7 +43,7 @@
 	for _, p := range o.view.Peers {
 		if u := p.Teams[team]; u != nil && o.loop.Now.Sub(p.Heard) < cluster.UseFresh {
 			a.CPUs += u.GetCpus()
-			a.Cards += u.GetCards()
+			a.Cards += u.GetGpus()
 		}
 	}
 	return a
@@ -69,7 +69,7 @@
 	}
 	size := m.size
 	for _, t := range o.view.Types {
-		size = sched.Amount{CPUs: max(size.CPUs, t.CPUs), Cards: max(size.Cards, t.Cards)}
+		size = sched.Amount{CPUs: max(size.CPUs, t.CPUs), Cards: max(size.Cards, t.GPUs)}
 	}
 	return size
 }
@@ -81,7 +81,7 @@
 	for _, t := range o.view.Cfg.Cluster.Teams {
 		if !cluster.Unlimited(t) {
 			u := o.used[t.Name]
-			out[t.Name] = &peerpb.TeamUse{Team: t.Name, Cpus: u.CPUs, Cards: u.Cards, WantCpus: u.CPUs, WantCards: u.Cards}
+			out[t.Name] = &peerpb.TeamUse{Team: t.Name, Cpus: u.CPUs, Gpus: u.Cards, WantCpus: u.CPUs, WantGpus: u.Cards}
 		}
 	}
 	for _, j := range o.jobs {
@@ -91,14 +91,14 @@
 		}
 		n := float64(len(j.queue))
 		u.WantCpus += n * j.Rec.CPUs
-		u.WantCards += n * j.Rec.Cards
+		u.WantGpus += n * j.Rec.GPUs
 		// A share has to have room for the largest task, and for all of a
 		// gang beside what runs.
 		must := j.need()
 		if j.Rec.Shape == wire.Group {
 			must = o.used[j.Rec.Team].Add(j.need(), n)
 		}
-		u.MustCpus, u.MustCards = max(u.MustCpus, must.CPUs), max(u.MustCards, must.Cards)
+		u.MinCpus, u.MinGpus = max(u.MinCpus, must.CPUs), max(u.MinGpus, must.Cards)
 	}
 	return out
 }
@@ -116,22 +116,22 @@
 	for _, team := range cluster.SortedKeys(o.view.Lease.Shares) {
 		shares := o.view.Lease.Shares[team]
 		limit, used := o.view.LimitOf(team), o.used[team].Add(hidden, 1)
-		cpus, cards := o.view.Needs(o.view.Lease.Homes, shares, team, own, o.loop.Now)
+		cpus, cards := o.view.Needs(o.view.Lease.Partitions, shares, team, own, o.loop.Now)
 		now := o.hold.Ceiling(team, shares[o.view.Me])
-		least := wire.Share{CPUs: int(math.Ceil(used.CPUs)), Cards: int(math.Ceil(used.Cards))}
+		least := wire.Share{CPUs: int(math.Ceil(used.CPUs)), GPUs: int(math.Ceil(used.Cards))}
 		next := now
 		if n, yes := o.spared(cpus, limit.CPUs, used.CPUs, now.CPUs, func(node string) int { return shares[node].CPUs }); yes {
 			next.CPUs = n
 		}
-		if n, yes := o.spared(cards, limit.Cards, used.Cards, now.Cards, func(node string) int { return shares[node].Cards }); yes {
-			next.Cards = n
+		if n, yes := o.spared(cards, limit.Cards, used.Cards, now.GPUs, func(node string) int { return shares[node].GPUs }); yes {
+			next.GPUs = n
 		}
 		if o.loop.Now.Sub(o.startedAt[team]) > gatherAfter {
 			next.CPUs = o.gathered(cpus, limit.CPUs, used.CPUs, next.CPUs, func(node string) int { return shares[node].CPUs })
-			next.Cards = o.gathered(cards, limit.Cards, used.Cards, next.Cards, func(node string) int { return shares[node].Cards })
+			next.GPUs = o.gathered(cards, limit.Cards, used.Cards, next.GPUs, func(node string) int { return shares[node].GPUs })
 		}
-		next.CPUs, next.Cards = max(next.CPUs, min(least.CPUs, shares[o.view.Me].CPUs)), max(next.Cards, min(least.Cards, shares[o.view.Me].Cards))
-		if next.CPUs < shares[o.view.Me].CPUs || next.Cards < shares[o.view.Me].Cards {
+		next.CPUs, next.GPUs = max(next.CPUs, min(least.CPUs, shares[o.view.Me].CPUs)), max(next.GPUs, min(least.GPUs, shares[o.view.Me].GPUs))
+		if next.CPUs < shares[o.view.Me].CPUs || next.GPUs < shares[o.view.Me].GPUs {
 			out[team] = next
 		}
 	}
@@ -205,12 +205,12 @@
 	for _, team := range cluster.SortedKeys(ceilings) {
 		s := ceilings[team]
 		o.hold.Promise(r.GetNumber(), team, s)
-		r.Ceilings = append(r.Ceilings, &peerpb.Ceiling{Team: team, Cpus: int64(s.CPUs), Cards: int64(s.Cards)})
+		r.Reservations = append(r.Reservations, &peerpb.QuotaReservation{Team: team, Cpus: int64(s.CPUs), Gpus: int64(s.GPUs)})
 	}
 	for _, home := range o.yields() {
 		o.hold.Yield(r.GetNumber(), home)
 		o.offered[home] = o.loop.Now
-		r.Yields = append(r.Yields, home)
+		r.Handovers = append(r.Handovers, home)
 	}
 }
 
--- a/internal/core/owner/workers.go
+++ b/internal/core/owner/workers.go
@@ -140,7 +140,7 @@
 
 // guest is a machine of another block, or of none, that reports here.
 type guest struct {
-	rep     wire.Report
+	rep     wire.Heartbeat
 	heard   time.Time
 	since   time.Time // of the session, here
 	sent    time.Time // last redirected
@@ -227,7 +227,7 @@
 // Report handles a worker's report.
 func (o *Owner) Report(e step.ReportIn) {
 	r := &e.Report
-	if r.Machine == "" || r.Session == 0 {
+	if r.Machine == "" || r.AgentEpoch == 0 {
 		o.loop.Answer(e.Req, 400, wire.ErrorAnswer{Error: "stroj and smjena are needed"})
 		return
 	}
@@ -251,7 +251,7 @@
 		// machine; it may be a copy, whose answer nobody reads. A worker that
 		// waits for it has its lease renewed and learns the token.
 		o.loop.Emit(step.Reply{Req: e.Req, Status: 200, Until: o.answerUntil(),
-			Body: wire.ReportAnswer{Token: o.tokenFor(m), Commands: []wire.Command{}}})
+			Body: wire.HeartbeatAnswer{Token: o.tokenFor(m), Commands: []wire.Command{}}})
 		return
 	}
 	if m.calling && !m.calledAt.IsZero() && o.loop.Now.Sub(m.calledAt) > DirectTimeout {
@@ -266,11 +266,11 @@
 	m.asking = false
 	until := o.answerUntil()
 	cmds := o.commandsFor(m, viaAnswer)
-	if slices.ContainsFunc(cmds, func(k wire.Command) bool { return k.Op == wire.OpStart }) {
+	if slices.ContainsFunc(cmds, func(k wire.Command) bool { return k.Op == wire.CommandStart }) {
 		until = o.startUntil()
 	}
 	o.loop.Emit(step.Reply{Req: e.Req, Status: 200, Until: until,
-		Body: wire.ReportAnswer{Token: o.tokenFor(m), Commands: cmds}})
+		Body: wire.HeartbeatAnswer{Token: o.tokenFor(m), Commands: cmds}})
 }
 
 // commandsFor collects what the worker is to do and marks starts as sent.
@@ -293,14 +293,14 @@
 			// A start that may still be on its way would run again after a
 			// forget; then the ended entry stays until the token has moved.
 			if o.mayForget(r) {
-				cmds = append(cmds, wire.Command{Op: wire.OpForget, Task: r.task, Attempt: r.attempt})
+				cmds = append(cmds, wire.Command{Op: wire.CommandForget, Task: r.task, Attempt: r.attempt})
 			}
 		case r.stop && r.state != runQueued:
 			g := grace
 			if r.j != nil && !r.j.Over && r.j.Rec.CheckpointS > 0 {
 				g = r.j.Rec.SaveS + 1
 			}
-			cmds = append(cmds, wire.Command{Op: wire.OpHalt, Task: r.task, Attempt: r.attempt, GraceS: &g})
+			cmds = append(cmds, wire.Command{Op: wire.CommandHalt, Task: r.task, Attempt: r.attempt, GraceS: &g})
 		}
 	}
 	// Straight to a worker only while the tokens prove that it hears: a command on
@@ -317,7 +317,7 @@
 		r.sentSeq = m.seq
 		r.flying = how == viaDirect
 		r.fence = o.tokenFor(m) + 1
-		cmds = append(cmds, wire.Command{Op: wire.OpStart, Task: r.task, Attempt: r.attempt})
+		cmds = append(cmds, wire.Command{Op: wire.CommandStart, Task: r.task, Attempt: r.attempt})
 	}
 	return cmds
 }
@@ -358,21 +358,21 @@
 // newest known, or below this holder's first token. Copies of reports come late,
 // by more than a lease, and a controller that has just taken a machine over
 // knows no newer one: from such a report it learns only where to ask.
-func (o *Owner) observe(m *machine, r *wire.Report, full bool) bool {
-	if r.Session < m.session || (r.Session == m.session && r.Seq <= m.seq) {
+func (o *Owner) observe(m *machine, r *wire.Heartbeat, full bool) bool {
+	if r.AgentEpoch < m.session || (r.AgentEpoch == m.session && r.Sequence <= m.seq) {
 		return false
 	}
 	if r.Token < m.fence {
-		o.introduce(m, &peerpb.Seen{Endpoint: r.Endpoint, Type: r.Type, Zone: r.Zone, Spot: r.Spot, Session: r.Session})
-		m.guess = max(m.guess, r.Session)
+		o.introduce(m, &peerpb.MachineInfo{Endpoint: r.Endpoint, Type: r.Type, Zone: r.Zone, Spot: r.Spot, AgentEpoch: r.AgentEpoch})
+		m.guess = max(m.guess, r.AgentEpoch)
 		o.strangers[m.name] = true
 		return false
 	}
-	renewed := r.Session > m.session && m.session != 0
+	renewed := r.AgentEpoch > m.session && m.session != 0
 	if renewed && o.loop.Now.Sub(m.answered) < config.Seconds(o.view.Cfg.Cluster.Workers.LeaseS) {
 		o.suspect(m) // its lease ended although it was answered
 	}
-	m.session, m.seq, m.token = r.Session, r.Seq, max(m.token, r.Token)
+	m.session, m.seq, m.token = r.AgentEpoch, r.Sequence, max(m.token, r.Token)
 	m.endpoint, m.zone, m.spot = r.Endpoint, r.Zone, r.Spot
 	if m.hears() {
 		m.unanswered = 0
@@ -437,7 +437,7 @@
 			}
 		}
 		a.state = t.State
-		o.log.Debug("task", "task", t.Task, "attempt", t.Attempt, "machine", m.name, "state", t.State, "why", t.Why)
+		o.log.Debug("task", "task", t.Task, "attempt", t.Attempt, "machine", m.name, "state", t.State, "why", t.Reason)
 		if a.over() {
 			o.runEnded(a, t)
 		}
@@ -449,7 +449,7 @@
 		switch {
 		case renewed, a.listed: // killed with its session, or forgotten
 		case a.via == viaAnswer:
-			if !full || r.Seq <= a.sentSeq {
+			if !full || r.Sequence <= a.sentSeq {
 				continue
 			}
 		case a.via == viaDirect:
@@ -467,7 +467,7 @@
 
 // adoptRun takes up an attempt that an earlier owner started, or one that
 // belongs to no job known here, which is then halted.
-func (o *Owner) adoptRun(m *machine, t *wire.TaskReport) *run {
+func (o *Owner) adoptRun(m *machine, t *wire.TaskStatus) *run {
 	a := &run{task: t.Task, attempt: t.Attempt, m: m, stop: true, placed: o.loop.Now, started: o.loop.Now}
 	m.runs[runKey{t.Task, t.Attempt}] = a
 	id, i, ok := splitTask(t.Task)
@@ -534,13 +534,13 @@
 
 // runEnded handles the end of an attempt; the entry stays until the worker
 // has forgotten it.
-func (o *Owner) runEnded(r *run, t *wire.TaskReport) {
+func (o *Owner) runEnded(r *run, t *wire.TaskStatus) {
 	j, m := r.j, r.m
 	if j == nil {
 		return
 	}
-	switch t.Why {
-	case wire.WhyDone:
+	switch t.Reason {
+	case wire.ReasonDone:
 		if j.runs != nil && j.Rec.Shape != wire.Daemon {
 			o.markDone(j, r.i)
 			o.learn(r)
@@ -548,11 +548,11 @@
 		m.oks++
 		clear(m.errors)
 		j.failures, j.failedOn = 0, nil
-	case wire.WhyError:
+	case wire.ReasonError:
 		o.failed(r)
-	case wire.WhyNoRoom, wire.WhyInUse:
+	case wire.ReasonNoRoom, wire.ReasonInUse:
 		m.pauseTo = o.loop.Now.Add(2 * time.Second)
-	case wire.WhyUnknown:
+	case wire.ReasonUnknown:
 		j.notBefore = o.loop.Now.Add(2 * time.Second)
 	}
 	o.detach(r, true)
@@ -668,11 +668,11 @@
 func (o *Owner) guestReport(e step.ReportIn) {
 	r := &e.Report
 	g := o.guests[r.Machine]
-	if g != nil && (r.Session < g.rep.Session || (r.Session == g.rep.Session && r.Seq <= g.rep.Seq)) {
+	if g != nil && (r.AgentEpoch < g.rep.AgentEpoch || (r.AgentEpoch == g.rep.AgentEpoch && r.Sequence <= g.rep.Sequence)) {
 		o.loop.Unavailable(e.Req) // a late copy
 		return
 	}
-	if g == nil || r.Session > g.rep.Session || o.loop.Now.Sub(g.heard) > config.Seconds(o.view.Cfg.Cluster.Workers.LeaseS) {
+	if g == nil || r.AgentEpoch > g.rep.AgentEpoch || o.loop.Now.Sub(g.heard) > config.Seconds(o.view.Cfg.Cluster.Workers.LeaseS) {
 		first := o.loop.Now
 		if g != nil {
 			first = g.first // a machine that hears nobody stays one
@@ -681,7 +681,7 @@
 		o.guests[r.Machine] = g
 		o.hold.Hurry() // its owner may take it for lost
 	}
-	if g.kept != 0 && r.Seq == g.kept+1 {
+	if g.kept != 0 && r.Sequence == g.kept+1 {
 		g.stayed = o.loop.Now
 	}
 	g.rep, g.heard, g.kept = *r, o.loop.Now, 0
@@ -695,7 +695,7 @@
 	if owner == "" {
 		o.hold.Hurry() // the leader has to hear of it
 		if !o.view.Leading && o.view.LinkUp(o.view.Lease.Leader, o.loop.Now) {
-			o.loop.Answer(e.Req, 421, wire.Redirect{ReportTo: o.view.Lease.Leader})
+			o.loop.Answer(e.Req, 421, wire.Redirect{Controller: o.view.Lease.Leader})
 			return
 		}
 		if o.view.Leading && r.Token <= o.hold.Token(0) {
@@ -709,7 +709,7 @@
 		// Where no worker gets through it is kept at first; later it is to try
 		// all the same.
 		if !first || !o.view.Peers[owner].NoReports {
-			o.loop.Answer(e.Req, 421, wire.Redirect{ReportTo: owner})
+			o.loop.Answer(e.Req, 421, wire.Redirect{Controller: owner})
 			return
 		}
 	}
@@ -739,15 +739,15 @@
 			return
 		}
 		zero := 0.0
-		cmds = append(cmds, wire.Command{Op: wire.OpHalt, Task: t.Task, Attempt: t.Attempt, GraceS: &zero})
+		cmds = append(cmds, wire.Command{Op: wire.CommandHalt, Task: t.Task, Attempt: t.Attempt, GraceS: &zero})
 	}
-	g.kept = r.Seq
+	g.kept = r.Sequence
 	token := r.Token
 	if owner == o.view.Me || (owner != "" && o.view.Peers[owner] != nil && o.view.Peers[owner].FollowsRaised) {
 		token = o.raise(g)
 	}
 	o.loop.Emit(step.Reply{Req: e.Req, Status: 200, Until: o.answerUntil(),
-		Body: wire.ReportAnswer{Token: token, Commands: cmds}})
+		Body: wire.HeartbeatAnswer{Token: token, Commands: cmds}})
 }
 
 // raiseEvery spaces the raises of a guest's token while it stays: a start that its
@@ -885,7 +885,7 @@
 		m.calling, m.calledAt = true, o.loop.Now
 		var sent []*run
 		for _, k := range cmds {
-			if r := m.runs[runKey{k.Task, k.Attempt}]; r != nil && k.Op == wire.OpStart {
+			if r := m.runs[runKey{k.Task, k.Attempt}]; r != nil && k.Op == wire.CommandStart {
 				sent = append(sent, r)
 			}
 		}
@@ -897,7 +897,7 @@
 			token = min(token, m.token)
 		}
 		o.loop.Emit(step.Direct{Endpoint: m.endpoint, Until: o.startUntil(),
-			Body: wire.Commands{Token: token, Session: m.session, Commands: cmds},
+			Body: wire.Commands{Token: token, AgentEpoch: m.session, Commands: cmds},
 			ID:   o.loop.Call(func(d step.Completed) { o.directDone(m, sent, d) })})
 	}
 }
@@ -951,11 +951,11 @@
 // It is then asked: after a takeover every job that may have been started
 // before waits until the last machine has been heard, and the next reports
 // may be seconds away.
-func (o *Owner) introduce(m *machine, s *peerpb.Seen) {
+func (o *Owner) introduce(m *machine, s *peerpb.MachineInfo) {
 	if s.GetEndpoint() == "" || m.endpoint != "" {
 		return
 	}
-	m.endpoint, m.guess = s.GetEndpoint(), max(1, s.GetSession()) // sessions start at 1
+	m.endpoint, m.guess = s.GetEndpoint(), max(1, s.GetAgentEpoch()) // sessions start at 1
 	if m.kind == "" {
 		m.kind, m.zone, m.spot = s.GetType(), s.GetZone(), s.GetSpot()
 	}
@@ -988,7 +988,7 @@
 		m.calling, m.calledAt = true, o.loop.Now
 		o.asking++
 		o.loop.Emit(step.Direct{Endpoint: m.endpoint, Until: o.hold.Until(),
-			Body: wire.Commands{Token: o.tokenFor(m), Session: session, Commands: []wire.Command{}},
+			Body: wire.Commands{Token: o.tokenFor(m), AgentEpoch: session, Commands: []wire.Command{}},
 			ID: o.loop.Call(func(d step.Completed) {
 				o.asking--
 				o.directDone(m, nil, d)
--- a/internal/core/owner/yield.go
+++ b/internal/core/owner/yield.go
@@ -51,7 +51,7 @@
 // and how many the reachable controller with the fewest has; -1 when there is
 // none.
 func (o *Owner) spread(team string) (mine []string, least int) {
-	homes := o.view.Lease.Homes
+	homes := o.view.Lease.Partitions
 	for _, home := range cluster.Homes(homes, team) {
 		if homes[home] == o.view.Me {
 			mine = append(mine, home)
@@ -133,5 +133,5 @@
 		moved++
 		j.disown()
 	}
-	o.log.Info("home moved", "home", home, "to", o.view.Lease.Homes[home], "jobs", moved)
+	o.log.Info("home moved", "home", home, "to", o.view.Lease.Partitions[home], "jobs", moved)
 }
--- a/internal/core/rebuild/rebuild.go
+++ b/internal/core/rebuild/rebuild.go
@@ -119,7 +119,7 @@
 			late = append(late, id)
 			continue
 		}
-		if err := b.add([]wire.Cond{{Key: k.Job + id, Version: v}, {Key: k.End + id}},
+		if err := b.add([]wire.Condition{{Key: k.Job + id, Version: v}, {Key: k.End + id}},
 			wire.Op{Delete: k.Job + id}, wire.Op{Put: k.End + id, Value: m.Ends[id]}); err != nil {
 			return nil, 0, 0, err
 		}
@@ -132,14 +132,14 @@
 			continue
 		}
 		jobs++
-		if err := b.add([]wire.Cond{{Key: k.Job + id}, {Key: k.End + id}}, wire.Op{Put: k.Job + id, Value: m.Jobs[id]}); err != nil {
+		if err := b.add([]wire.Condition{{Key: k.Job + id}, {Key: k.End + id}}, wire.Op{Put: k.Job + id, Value: m.Jobs[id]}); err != nil {
 			return nil, 0, 0, err
 		}
 	}
 	for _, id := range late {
 		// Somebody who had not noticed yet may have ended it another way since. What
 		// was known before the loss may have been told.
-		if err := b.add([]wire.Cond{{Key: k.Job + id}, {Key: k.End + id, Version: f.Ends[id].Version}}, wire.Op{Put: k.End + id, Value: m.Ends[id]}); err != nil {
+		if err := b.add([]wire.Condition{{Key: k.Job + id}, {Key: k.End + id, Version: f.Ends[id].Version}}, wire.Op{Put: k.End + id, Value: m.Ends[id]}); err != nil {
 			return nil, 0, 0, err
 		}
 	}
@@ -182,7 +182,7 @@
 	bytes int
 }
 
-func (b *batch) add(conds []wire.Cond, ops ...wire.Op) error {
+func (b *batch) add(conds []wire.Condition, ops ...wire.Op) error {
 	size := 0
 	for _, op := range ops {
 		raw, err := wire.Encode(op.Value)
@@ -233,24 +233,24 @@
 // of holders that ended, all homes and all shares. share is a team's limit.
 func Lease(node string, incarnation, generation uint64, share func(team string) wire.Share, views ...*View) wire.LeaseRecord {
 	out := wire.LeaseRecord{Leader: node, Incarnation: incarnation, Generation: generation,
-		Homes: map[string]string{}, Blocks: map[string]wire.Block{}}
+		Partitions: map[string]string{}, Blocks: map[string]wire.Block{}}
 	machines := map[string]bool{}
 	for _, view := range views {
 		v := &view.Lease
-		out.Term, out.Beat, out.Form = max(out.Term, v.Term, TermOf(view.Token)), max(out.Beat, v.Beat), max(out.Form, view.Form)
+		out.Term, out.Sequence, out.Form = max(out.Term, v.Term, TermOf(view.Token)), max(out.Sequence, v.Sequence), max(out.Form, view.Form)
 		out.Level, out.Confirmed = max(out.Level, view.Levels[0]), max(out.Confirmed, view.Levels[1])
 		for _, n := range view.Machines {
 			machines[n] = true
 		}
 		for _, b := range v.Blocks {
-			for _, names := range [][]string{b.Machines, b.Old} {
+			for _, names := range [][]string{b.Machines, b.Unreconciled} {
 				for _, n := range names {
 					machines[n] = true
 				}
 			}
 		}
-		for home := range v.Homes {
-			out.Homes[home] = node
+		for home := range v.Partitions {
+			out.Partitions[home] = node
 		}
 		for team := range view.Shares {
 			if out.Shares == nil {
@@ -263,8 +263,8 @@
 		}
 	}
 	out.Term += termGap
-	out.Beat++
-	out.Grants = out.Term << 16
-	out.Blocks[node] = wire.Block{Grant: out.Grants, Incarnation: incarnation, Old: slices.Sorted(maps.Keys(machines))}
+	out.Sequence++
+	out.LastGrant = out.Term << 16
+	out.Blocks[node] = wire.Block{Grant: out.LastGrant, Incarnation: incarnation, Unreconciled: slices.Sorted(maps.Keys(machines))}
 	return out
 }
--- a/internal/core/rebuild/rebuild_test.go
+++ b/internal/core/rebuild/rebuild_test.go
@@ -25,7 +25,7 @@
 	if err != nil || jobs != 29 || ends != 3 {
 		t.Fatalf("%d jobs, %d ends, %v", jobs, ends, err)
 	}
-	if first := txns[0].Then; first[0].Delete != "j/zombie" || first[1].Put != "t/zombie" || txns[0].If[0] != (wire.Cond{Key: "j/zombie", Version: 7}) {
+	if first := txns[0].Then; first[0].Delete != "j/zombie" || first[1].Put != "t/zombie" || txns[0].If[0] != (wire.Condition{Key: "j/zombie", Version: 7}) {
 		t.Errorf("first: %+v", txns[0])
 	}
 	stored := map[string]int{}
@@ -70,10 +70,10 @@
 // TestLease joins the value of before the loss with an older one that was found: no
 // term, token or machine of either may be taken for new, and no limit is given twice.
 func TestLease(t *testing.T) {
-	before := &wire.LeaseRecord{Term: 9, Beat: 50, Form: 3, Level: 2, Confirmed: 2, Leader: "n1", Homes: map[string]string{"red": "n1", "red #2": "n2"},
-		Blocks: map[string]wire.Block{"n1": {Machines: wire.NameSet{"host-1"}, Old: wire.NameSet{"host-2"}}, "n2": {Machines: wire.NameSet{"host-3"}}},
+	before := &wire.LeaseRecord{Term: 9, Sequence: 50, Form: 3, Level: 2, Confirmed: 2, Leader: "n1", Partitions: map[string]string{"red": "n1", "red #2": "n2"},
+		Blocks: map[string]wire.Block{"n1": {Machines: wire.NameSet{"host-1"}, Unreconciled: wire.NameSet{"host-2"}}, "n2": {Machines: wire.NameSet{"host-3"}}},
 		Shares: map[string]wire.Shares{"red": {"n1": {CPUs: 10}, "n2": {CPUs: 20}}}}
-	found := &wire.LeaseRecord{Term: 4, Beat: 20, Form: 2, Homes: map[string]string{"red": "n2", "blue": "n2"},
+	found := &wire.LeaseRecord{Term: 4, Sequence: 20, Form: 2, Partitions: map[string]string{"red": "n2", "blue": "n2"},
 		Blocks: map[string]wire.Block{"n2": {Machines: wire.NameSet{"host-4", "host-1"}}}}
 	const token = (uint64(12)<<16+5)<<24 + 99 // made in term 12, which neither value knows
 	a, b1 := ViewOf(*before), ViewOf(*found)
@@ -87,14 +87,14 @@
 		t.Fatal(err)
 	}
 	got := Lease("n0", 77, 2, func(string) wire.Share { return wire.Share{CPUs: 30} }, &sent, &b1)
-	if got.Term <= 12+1 || got.Beat != 51 || got.Form != 3 || got.Level != 2 || got.Confirmed != 2 || got.Leader != "n0" || got.Generation != 2 {
+	if got.Term <= 12+1 || got.Sequence != 51 || got.Form != 3 || got.Level != 2 || got.Confirmed != 2 || got.Leader != "n0" || got.Generation != 2 {
 		t.Errorf("%+v", got)
 	}
 	b := got.Blocks["n0"]
-	if len(got.Blocks) != 1 || len(b.Machines) != 0 || strings.Join(b.Old, " ") != "host-1 host-2 host-3 host-4 host-5" || b.Incarnation != 77 || b.Grant<<24 <= token {
+	if len(got.Blocks) != 1 || len(b.Machines) != 0 || strings.Join(b.Unreconciled, " ") != "host-1 host-2 host-3 host-4 host-5" || b.Incarnation != 77 || b.Grant<<24 <= token {
 		t.Errorf("block %+v", b)
 	}
-	if len(got.Homes) != 3 || got.Homes["red #2"] != "n0" || len(got.Shares["red"]) != 1 || got.Shares["red"]["n0"].CPUs != 30 {
-		t.Errorf("homes %v, shares %v", got.Homes, got.Shares)
+	if len(got.Partitions) != 3 || got.Partitions["red #2"] != "n0" || len(got.Shares["red"]) != 1 || got.Shares["red"]["n0"].CPUs != 30 {
+		t.Errorf("homes %v, shares %v", got.Partitions, got.Shares)
 	}
 }
--- a/internal/core/sched/fleet.go
+++ b/internal/core/sched/fleet.go
@@ -8,14 +8,14 @@
 
 // Demand is a group of like tasks that wait.
 type Demand struct {
-	Rank  int
-	Need  Amount
-	Types []string // empty: any
-	Zone  string   // empty: any
-	Spot  bool
-	Count int
-	RunS  float64
-	Whole bool // nothing of it may be left to machines that become free
+	Rank         int
+	Need         Amount
+	Types        []string // empty: any
+	Zone         string   // empty: any
+	Spot         bool
+	Count        int
+	RunS         float64
+	ProvisionAll bool // nothing of it may be left to machines that become free
 	// Starved work has waited long without any of it being started.
 	Starved bool
 	SlackS  float64 // how long it may still wait and meet an aim
@@ -79,7 +79,7 @@
 	at := map[key]int{}
 	var out []Demand
 	for _, d := range list {
-		k := key{d.Rank, d.Need, strings.Join(d.Types, "\x00"), d.Zone, d.Spot, d.Whole, d.Starved}
+		k := key{d.Rank, d.Need, strings.Join(d.Types, "\x00"), d.Zone, d.Spot, d.ProvisionAll, d.Starved}
 		i, ok := at[k]
 		if !ok {
 			at[k] = len(out)
--- a/internal/core/share/share.go
+++ b/internal/core/share/share.go
@@ -211,7 +211,7 @@
 func (h *Holder) Ceiling(team string, s wire.Share) wire.Share {
 	for _, p := range h.open {
 		if p.team == team {
-			s.CPUs, s.Cards = min(s.CPUs, p.ceiling.CPUs), min(s.Cards, p.ceiling.Cards)
+			s.CPUs, s.GPUs = min(s.CPUs, p.ceiling.CPUs), min(s.GPUs, p.ceiling.GPUs)
 		}
 	}
 	return s
--- a/internal/core/step/step.go
+++ b/internal/core/step/step.go
@@ -89,7 +89,7 @@
 // ReportIn is a worker's report; its answer is a Reply with the same Req.
 type ReportIn struct {
 	Req    uint64
-	Report wire.Report
+	Report wire.Heartbeat
 }
 
 // SubmitIn is a submission; Err says what is wrong with it. Job.ID is set
@@ -128,7 +128,7 @@
 	Types  wire.MachineTypes
 	Names  []string
 	List   wire.MachineList
-	Report *wire.Report
+	Report *wire.Heartbeat
 }
 
 // Effect is something the node has to do.
@@ -177,7 +177,7 @@
 // CloudRent rents machines.
 type CloudRent struct {
 	ID   uint64
-	Rent wire.Rent
+	Rent wire.InstanceRequest
 }
 
 // CloudRelease returns machines.
--- a/internal/edge/cloud/cloud.go
+++ b/internal/edge/cloud/cloud.go
@@ -65,7 +65,7 @@
 }
 
 // Rent rents machines.
-func (c *Cloud) Rent(ctx context.Context, r wire.Rent) (int, wire.Names, error) {
+func (c *Cloud) Rent(ctx context.Context, r wire.InstanceRequest) (int, wire.Names, error) {
 	var out wire.Names
 	status, err := c.do(ctx, "POST", "/machines", r, &out)
 	return status, out, err
@@ -79,7 +79,7 @@
 // List reads a page of the machine list.
 func (c *Cloud) List(ctx context.Context, after string) (int, wire.MachineList, error) {
 	var out wire.MachineList
-	q := url.Values{"most": {strconv.Itoa(wire.MaxList)}}
+	q := url.Values{"most": {strconv.Itoa(wire.MaxInstancesPerPage)}}
 	if after != "" {
 		q.Set("after", after)
 	}
--- a/internal/edge/httpapi/httpapi.go
+++ b/internal/edge/httpapi/httpapi.go
@@ -58,7 +58,7 @@
 		if !ok {
 			return
 		}
-		var rep wire.Report
+		var rep wire.Heartbeat
 		if err := wire.Decode(body, &rep); err != nil {
 			write(w, step.Reply{Status: 400, Body: wire.ErrorAnswer{Error: "malformed report"}})
 			return
--- a/internal/edge/httpapi/httpapi_test.go
+++ b/internal/edge/httpapi/httpapi_test.go
@@ -79,10 +79,10 @@
 // TestLateAnswer expects 503 for an answer whose right has ended before it
 // could be written.
 func TestLateAnswer(t *testing.T) {
-	b := &backend{reply: step.Reply{Status: 200, Body: wire.ReportAnswer{Token: 5}, Until: time.Now().Add(-time.Millisecond)}}
+	b := &backend{reply: step.Reply{Status: 200, Body: wire.HeartbeatAnswer{Token: 5}, Until: time.Now().Add(-time.Millisecond)}}
 	s := httptest.NewServer(New(b))
 	defer s.Close()
-	body, err := wire.Encode(wire.Report{Machine: "host-000001", Session: 1, Seq: 1})
+	body, err := wire.Encode(wire.Heartbeat{Machine: "host-000001", AgentEpoch: 1, Sequence: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -95,7 +95,7 @@
 	}
 	b.reply.Until = time.Now().Add(time.Hour)
 	status, out, _ := call(t, s.Client(), "POST", s.URL+"/checkin", body)
-	var a wire.ReportAnswer
+	var a wire.HeartbeatAnswer
 	if err := wire.Decode(out, &a); status != 200 || err != nil || a.Token != 5 {
 		t.Errorf("status %d, answer %+v, %v", status, a, err)
 	}
--- a/internal/edge/node/node.go
+++ b/internal/edge/node/node.go
@@ -211,7 +211,7 @@
 			}
 			ctx, cancel := context.WithTimeout(ctx, owner.DirectTimeout)
 			defer cancel()
-			var r wire.Report
+			var r wire.Heartbeat
 			status, err := n.workers.Do(ctx, "POST", "http://"+e.Endpoint+"/commands", e.Body, &r, 200, 409)
 			n.note("commands", status, err)
 			return step.Completed{ID: e.ID, Status: status, Report: &r}
--- a/internal/edge/statestore/statestore.go
+++ b/internal/edge/statestore/statestore.go
@@ -115,7 +115,7 @@
 func (s *Store) Txn(ctx context.Context, t wire.Txn, control bool) (int, wire.TxnAnswer, error) {
 	var a wire.TxnAnswer
 	if t.If == nil {
-		t.If = []wire.Cond{}
+		t.If = []wire.Condition{}
 	}
 	if t.Then == nil {
 		t.Then = []wire.Op{}
--- a/internal/testkit/golden/golden.go
+++ b/internal/testkit/golden/golden.go
@@ -83,6 +83,9 @@
 			if tag == "-" || !f.IsExported() {
 				continue
 			}
+			if tag == "" {
+				tag = f.Name // as the encoding does
+			}
 			if strings.Contains(options, "inline") {
 				tag = name
 			}
--- a/internal/testkit/loopback/loopback.go
+++ b/internal/testkit/loopback/loopback.go
@@ -155,7 +155,7 @@
 
 // txn is a transaction whose values stay as they are encoded.
 type txn struct {
-	If   []wire.Cond `msgpack:"if"`
+	If   []wire.Condition `msgpack:"if"`
 	Then []struct {
 		Put    string             `msgpack:"put"`
 		Value  msgpack.RawMessage `msgpack:"data"`
@@ -183,7 +183,7 @@
 			return
 		}
 		for _, op := range t.Then {
-			if op.Put != "" && wire.Missing(op.Value) {
+			if op.Put != "" && wire.IsAbsent(op.Value) {
 				write(w, 400, wire.ErrorAnswer{Error: "no data: " + op.Put})
 				return
 			}
@@ -240,7 +240,7 @@
 		}
 	})
 	mux.HandleFunc("POST /machines", func(w http.ResponseWriter, r *http.Request) {
-		var rent wire.Rent
+		var rent wire.InstanceRequest
 		if !body(w, r, &rent) {
 			return
 		}
@@ -293,7 +293,7 @@
 		}
 		type answer struct {
 			status int
-			report *wire.Report
+			report *wire.Heartbeat
 		}
 		a, ok := do(h, r, now(func() answer {
 			status, rep := h.world.Commands(machine, c)
@@ -304,7 +304,7 @@
 		}
 	})
 	mux.HandleFunc("GET /status", func(w http.ResponseWriter, r *http.Request) {
-		rep, ok := do(h, r, now(func() *wire.Report {
+		rep, ok := do(h, r, now(func() *wire.Heartbeat {
 			if rep, up := h.world.Report(machine); up {
 				return &rep
 			}
@@ -406,7 +406,7 @@
 	case step.ReportIn:
 		var raw msgpack.RawMessage
 		r.Status, err = h.call.Do(ctx, http.MethodPost, base+"/checkin", e.Report, &raw, 200, 421)
-		var a wire.ReportAnswer
+		var a wire.HeartbeatAnswer
 		var to wire.Redirect
 		switch {
 		case err != nil:
--- a/internal/testkit/loopback/loopback_test.go
+++ b/internal/testkit/loopback/loopback_test.go
@@ -32,13 +32,13 @@
 	h, ctx := start(t), t.Context()
 	s := statestore.New(h.State, 1000, 1000, 1)
 	put := func(version uint64, v any) int {
-		status, _, err := s.Txn(ctx, wire.Txn{If: []wire.Cond{{Key: "a/b", Version: version}}, Then: []wire.Op{{Put: "a/b", Value: v}}}, false)
+		status, _, err := s.Txn(ctx, wire.Txn{If: []wire.Condition{{Key: "a/b", Version: version}}, Then: []wire.Op{{Put: "a/b", Value: v}}}, false)
 		if err != nil {
 			t.Fatal(err)
 		}
 		return status
 	}
-	rec := wire.JobRecord{Job: wire.Job{ID: "wk-000001", Tasks: 70000, CPUs: 2}, AtMs: 1 << 41}
+	rec := wire.JobRecord{Job: wire.Job{ID: "wk-000001", Tasks: 70000, CPUs: 2}, SubmittedAtMs: 1 << 41}
 	if got := put(0, rec); got != 200 {
 		t.Fatalf("put: %d", got)
 	}
@@ -76,7 +76,7 @@
 	if status, types, err := c.Types(ctx); status != 200 || err != nil || len(types.Types) == 0 {
 		t.Fatalf("machine types: %d %+v %v", status, types, err)
 	}
-	rent := wire.Rent{Request: "r-1", Type: "s4", Zone: "x", Number: 2}
+	rent := wire.InstanceRequest{ID: "r-1", Type: "s4", Zone: "x", Count: 2}
 	var names wire.Names
 	for range 20 { // the cloud refuses now and then
 		status, n, err := c.Rent(ctx, rent)
--- a/internal/testkit/simtest/actors.go
+++ b/internal/testkit/simtest/actors.go
@@ -43,7 +43,7 @@
 			t.until = 0
 		default:
 			k.set(t, wire.TaskEnded)
-			t.why, k.changed = wire.WhyError, true
+			t.why, k.changed = wire.ReasonError, true
 		}
 	})
 	return t.stop != nil
@@ -122,7 +122,7 @@
 		case wire.TaskFetching:
 			if u.doneTasks[t.name] {
 				k.set(t, wire.TaskEnded)
-				t.why = wire.WhyDone
+				t.why = wire.ReasonDone
 				continue
 			}
 			k.w.started(k, t, u)
@@ -145,9 +145,9 @@
 		case wire.TaskRunning:
 			k.set(t, wire.TaskEnded)
 			if k.sick || u.faulty {
-				t.why = wire.WhyError
+				t.why = wire.ReasonError
 			} else {
-				t.why = wire.WhyDone
+				t.why = wire.ReasonDone
 				u.doneTasks[t.name] = true
 				k.w.Dones++
 				if len(u.doneTasks) == u.job.Tasks {
@@ -157,7 +157,7 @@
 			}
 		case wire.TaskFlushing:
 			k.set(t, wire.TaskEnded)
-			t.why = wire.WhyStopped
+			t.why = wire.ReasonStopped
 		}
 	}
 	every := config.Seconds(k.w.cfg.Workers.ReportS)
@@ -181,16 +181,16 @@
 	}
 }
 
-func (k *worker) body() wire.Report {
+func (k *worker) body() wire.Heartbeat {
 	k.seq++
-	r := wire.Report{Machine: k.name, Endpoint: k.endpoint, Type: k.kind, Zone: k.zone, Spot: k.spot,
-		Session: k.session, Seq: k.seq, Token: k.token}
+	r := wire.Heartbeat{Machine: k.name, Endpoint: k.endpoint, Type: k.kind, Zone: k.zone, Spot: k.spot,
+		AgentEpoch: k.session, Sequence: k.seq, Token: k.token}
 	if k.notice > 0 {
 		left := max(0, (k.notice - k.w.now).Seconds())
 		r.NoticeS = &left
 	}
 	for _, t := range k.tasks {
-		r.Tasks = append(r.Tasks, wire.TaskReport{Task: t.name, Attempt: t.attempt, State: t.state, Why: t.why})
+		r.Tasks = append(r.Tasks, wire.TaskStatus{Task: t.name, Attempt: t.attempt, State: t.state, Reason: t.why})
 	}
 	return r
 }
@@ -209,7 +209,7 @@
 		k.busy = false
 		switch {
 		case reply.Status == 200:
-			a := reply.Body.(wire.ReportAnswer)
+			a := reply.Body.(wire.HeartbeatAnswer)
 			k.expire()
 			if k.session != session || a.Token < k.token {
 				return
@@ -220,7 +220,7 @@
 			k.node = (k.node + 1) % len(w.nodes)
 			if to, ok := reply.Body.(wire.Redirect); ok && reply.Status == 421 {
 				for i, p := range w.nodes {
-					if p.name == to.ReportTo {
+					if p.name == to.Controller {
 						k.node = i
 						k.lastSent = -time.Hour
 					}
@@ -252,19 +252,19 @@
 	for _, c := range cmds {
 		i := slices.IndexFunc(k.tasks, func(t *simTask) bool { return t.name == c.Task && t.attempt == c.Attempt })
 		switch c.Op {
-		case wire.OpStart:
+		case wire.CommandStart:
 			if i < 0 {
 				k.w.commands++
 				k.start(c)
 			}
-		case wire.OpHalt:
+		case wire.CommandHalt:
 			if i >= 0 && k.tasks[i].state != wire.TaskEnded {
 				k.tasks[i].cancel()
 				k.set(k.tasks[i], wire.TaskEnded)
-				k.tasks[i].why = wire.WhyStopped
+				k.tasks[i].why = wire.ReasonStopped
 				k.changed = true
 			}
-		case wire.OpForget:
+		case wire.CommandForget:
 			if i >= 0 && k.tasks[i].state == wire.TaskEnded {
 				k.tasks = slices.Delete(k.tasks, i, i+1)
 				k.changed = true
@@ -280,7 +280,7 @@
 	k.changed = true
 	u := k.w.users[id]
 	if u == nil {
-		t.why = wire.WhyUnknown
+		t.why = wire.ReasonUnknown
 		return
 	}
 	free := k.cpus
@@ -289,13 +289,13 @@
 			continue
 		}
 		if o.name == t.name {
-			t.why = wire.WhyInUse
+			t.why = wire.ReasonInUse
 			return
 		}
 		free -= k.w.users[o.job].job.CPUs
 	}
 	if u.job.CPUs > free+1e-9 {
-		t.why = wire.WhyNoRoom
+		t.why = wire.ReasonNoRoom
 		return
 	}
 	t.state = wire.TaskFetching
@@ -307,8 +307,8 @@
 }
 
 // commands serves /commands.
-func (k *worker) commands(c wire.Commands) (int, *wire.Report) {
-	if c.Token < k.token || c.Session != k.session {
+func (k *worker) commands(c wire.Commands) (int, *wire.Heartbeat) {
+	if c.Token < k.token || c.AgentEpoch != k.session {
 		r := k.body()
 		return 409, &r
 	}
--- a/internal/testkit/simtest/drive.go
+++ b/internal/testkit/simtest/drive.go
@@ -97,7 +97,7 @@
 func (d *Driven) Types() wire.MachineTypes { return wire.MachineTypes{Types: machineTypes} }
 
 // Rent rents machines.
-func (d *Driven) Rent(r wire.Rent) step.Completed { return d.cloud.rent(r) }
+func (d *Driven) Rent(r wire.InstanceRequest) step.Completed { return d.cloud.rent(r) }
 
 // Release ends machines.
 func (d *Driven) Release(names []string) {
@@ -111,7 +111,7 @@
 func (d *Driven) List() step.Completed { return d.cloud.list() }
 
 // Commands hands commands to a machine's worker; status 0: it is not there.
-func (d *Driven) Commands(machine string, c wire.Commands) (status int, r *wire.Report) {
+func (d *Driven) Commands(machine string, c wire.Commands) (status int, r *wire.Heartbeat) {
 	k := d.workers[machine]
 	if k == nil || k.gone || !k.up {
 		return 0, nil
@@ -121,7 +121,7 @@
 }
 
 // Report is a machine's report, as asked for by /status.
-func (d *Driven) Report(machine string) (r wire.Report, ok bool) {
+func (d *Driven) Report(machine string) (r wire.Heartbeat, ok bool) {
 	k := d.workers[machine]
 	if k == nil || k.gone || !k.up {
 		return r, false
--- a/internal/testkit/simtest/duo_test.go
+++ b/internal/testkit/simtest/duo_test.go
@@ -79,7 +79,7 @@
 	name, endpoint string
 	session, seq   uint64
 	token          uint64
-	tasks          []wire.TaskReport
+	tasks          []wire.TaskStatus
 	reports        int           // the controller that it reports to
 	lease          time.Duration // when it last reported and was answered
 	told           uint64        // sums up what it was told and has done
@@ -115,7 +115,7 @@
 		blocks[fmt.Sprintf("n%d", i)] = b
 	}
 	d.w.store.txn(wire.Txn{Then: []wire.Op{{Put: "fc/lease", Value: wire.LeaseRecord{Term: 1, Leader: fmt.Sprintf("n%d", leader),
-		Incarnation: 7, Grants: 1<<16 + 1, Beat: 1, Homes: map[string]string{"free": "n1"}, Blocks: blocks}}}})
+		Incarnation: 7, LastGrant: 1<<16 + 1, Sequence: 1, Partitions: map[string]string{"free": "n1"}, Blocks: blocks}}}})
 	for k, holder := range holders {
 		d.machines = append(d.machines, &duoMachine{d: d, name: fmt.Sprintf("host-%06d", k+1), endpoint: fmt.Sprint("worker-", k+1), session: 1, reports: holder})
 	}
@@ -424,7 +424,7 @@
 	m := d.machines[k]
 	m.expire()
 	c.Status = 409
-	if e.Body.Token >= m.token && e.Body.Session == m.session {
+	if e.Body.Token >= m.token && e.Body.AgentEpoch == m.session {
 		c.Status = 200
 		m.obey(by, e.Body.Token, e.Body.Commands)
 	}
@@ -433,15 +433,15 @@
 	return c
 }
 
-func (m *duoMachine) body() wire.Report {
+func (m *duoMachine) body() wire.Heartbeat {
 	m.seq++
-	tasks := slices.DeleteFunc(slices.Clone(m.tasks), func(t wire.TaskReport) bool { return m.d.blind && t.State == wire.TaskRunning })
-	return wire.Report{Machine: m.name, Endpoint: m.endpoint, Type: "s4", Zone: "x", Session: m.session, Seq: m.seq, Token: m.token, Tasks: tasks}
+	tasks := slices.DeleteFunc(slices.Clone(m.tasks), func(t wire.TaskStatus) bool { return m.d.blind && t.State == wire.TaskRunning })
+	return wire.Heartbeat{Machine: m.name, Endpoint: m.endpoint, Type: "s4", Zone: "x", AgentEpoch: m.session, Sequence: m.seq, Token: m.token, Tasks: tasks}
 }
 
 // runs tells whether the job's task runs there.
 func (m *duoMachine) runs() bool {
-	return slices.ContainsFunc(m.tasks, func(t wire.TaskReport) bool { return t.State == wire.TaskRunning })
+	return slices.ContainsFunc(m.tasks, func(t wire.TaskStatus) bool { return t.State == wire.TaskRunning })
 }
 
 // obey carries out commands of a controller.
@@ -449,23 +449,23 @@
 	m.token = max(m.token, token)
 	m.told = sum(m.told, token, len(commands))
 	for _, c := range commands {
-		k := slices.IndexFunc(m.tasks, func(t wire.TaskReport) bool { return t.Attempt == c.Attempt })
+		k := slices.IndexFunc(m.tasks, func(t wire.TaskStatus) bool { return t.Attempt == c.Attempt })
 		switch {
-		case c.Op == wire.OpStart && k < 0:
-			t := wire.TaskReport{Task: c.Task, Attempt: c.Attempt, State: wire.TaskRunning}
+		case c.Op == wire.CommandStart && k < 0:
+			t := wire.TaskStatus{Task: c.Task, Attempt: c.Attempt, State: wire.TaskRunning}
 			switch {
 			case m.runs():
-				t.State, t.Why = wire.TaskEnded, wire.WhyInUse
+				t.State, t.Reason = wire.TaskEnded, wire.ReasonInUse
 			case m.d.done: // its result is kept
-				t.State, t.Why = wire.TaskEnded, wire.WhyDone
+				t.State, t.Reason = wire.TaskEnded, wire.ReasonDone
 			}
 			m.tasks = append(m.tasks, t)
 			if t.State == wire.TaskRunning && m.d.started != nil {
 				m.d.started(by, m)
 			}
-		case c.Op == wire.OpHalt && k >= 0 && m.tasks[k].State == wire.TaskRunning:
-			m.tasks[k].State, m.tasks[k].Why = wire.TaskEnded, wire.WhyStopped
-		case c.Op == wire.OpForget && k >= 0 && m.tasks[k].State == wire.TaskEnded:
+		case c.Op == wire.CommandHalt && k >= 0 && m.tasks[k].State == wire.TaskRunning:
+			m.tasks[k].State, m.tasks[k].Reason = wire.TaskEnded, wire.ReasonStopped
+		case c.Op == wire.CommandForget && k >= 0 && m.tasks[k].State == wire.TaskEnded:
 			m.tasks = slices.Delete(m.tasks, k, k+1)
 		}
 	}
@@ -475,7 +475,7 @@
 func (m *duoMachine) finishTask() {
 	for k := range m.tasks {
 		if m.tasks[k].State == wire.TaskRunning {
-			m.tasks[k].State, m.tasks[k].Why = wire.TaskEnded, wire.WhyDone
+			m.tasks[k].State, m.tasks[k].Reason = wire.TaskEnded, wire.ReasonDone
 			m.d.done = true
 		}
 	}
@@ -511,7 +511,7 @@
 				return
 			}
 			kept = true
-			if a := r.Body.(wire.ReportAnswer); a.Token >= m.token {
+			if a := r.Body.(wire.HeartbeatAnswer); a.Token >= m.token {
 				m.lease = sent
 				m.obey(to, a.Token, a.Commands)
 			}
--- a/internal/testkit/simtest/fleet.go
+++ b/internal/testkit/simtest/fleet.go
@@ -20,7 +20,7 @@
 func (k *worker) Mute(d time.Duration) { k.mute = k.w.now + d }
 
 // keepForNext keeps a report until another controller leads.
-func (w *World) keepForNext(r wire.Report) {
+func (w *World) keepForNext(r wire.Heartbeat) {
 	if w.night.forNext > 0 && w.rng.IntN(100) < w.night.forNext {
 		w.night.kept = append(w.night.kept, r)
 	}
@@ -46,7 +46,7 @@
 }
 
 // deliverAll has all controllers get reports.
-func (w *World) deliverAll(reports []wire.Report) {
+func (w *World) deliverAll(reports []wire.Heartbeat) {
 	late := time.Duration(w.rng.Float64() * float64([]time.Duration{0, 50 * time.Millisecond, 6 * time.Second}[w.rng.IntN(3)]))
 	for _, r := range reports {
 		for _, n := range w.nodes {
--- a/internal/testkit/simtest/fleet_meeting_test.go
+++ b/internal/testkit/simtest/fleet_meeting_test.go
@@ -245,11 +245,11 @@
 		u := w.SubmitNight(1, 0)
 		w.Run(100 * time.Second)
 		u.told, u.toldAt = wire.Cancelled, w.now-late
-		w.seeStarts([]wire.Command{{Op: wire.OpHalt, Task: u.job.ID + "/0"}})
+		w.seeStarts([]wire.Command{{Op: wire.CommandHalt, Task: u.job.ID + "/0"}})
 		if len(w.Broken()) > 0 {
 			t.Error(w.Broken())
 		}
-		w.seeStarts([]wire.Command{{Op: wire.OpStart, Task: u.job.ID + "/0"}})
+		w.seeStarts([]wire.Command{{Op: wire.CommandStart, Task: u.job.ID + "/0"}})
 		if cried := len(w.Broken()) > 0; cried != (late > newsFor) {
 			t.Errorf("started %v after its user was told: %v", late, w.Broken())
 		}
--- a/internal/testkit/simtest/handover_model_test.go
+++ b/internal/testkit/simtest/handover_model_test.go
@@ -23,7 +23,7 @@
 type handover struct {
 	*duo
 	directs     []*heldCommand
-	copies      []wire.Report
+	copies      []wire.Heartbeat
 	cancelledAt time.Duration // when the user was told; 0: not yet
 	asked       time.Duration // when the machines last reported by themselves
 	used        map[string]int
@@ -141,7 +141,7 @@
 		parts = append(parts, fmt.Sprint(m.told, m.session, m.seq, m.token, m.reports, m.lease, m.hangs, m.gone, m.apart))
 	}
 	for _, r := range h.copies {
-		parts = append(parts, fmt.Sprint(r.Machine, r.Session, r.Seq))
+		parts = append(parts, fmt.Sprint(r.Machine, r.AgentEpoch, r.Sequence))
 	}
 	for _, n := range h.nodes {
 		parts = append(parts, fmt.Sprint(n.hist, n.down, n.frozen, n.lags, n.cut))
@@ -278,8 +278,8 @@
 }
 
 // hear hands a report to a controller, whose answer nobody reads.
-func (h *handover) hear(i int, r wire.Report) {
-	h.ask(i, fmt.Sprint(r.Machine, r.Session, r.Seq), func(req uint64) step.Event { return step.ReportIn{Req: req, Report: r} }, func(step.Reply) {})
+func (h *handover) hear(i int, r wire.Heartbeat) {
+	h.ask(i, fmt.Sprint(r.Machine, r.AgentEpoch, r.Sequence), func(req uint64) step.Event { return step.ReportIn{Req: req, Report: r} }, func(step.Reply) {})
 	h.settle()
 }
 
--- a/internal/testkit/simtest/move_meeting_test.go
+++ b/internal/testkit/simtest/move_meeting_test.go
@@ -116,7 +116,7 @@
 	next, left := time.Duration(0), 6
 	return func(from string, t wire.Txn) (time.Duration, bool) {
 		moves := len(t.Then) == 1 && strings.HasPrefix(t.Then[0].Put, "fc/j/") &&
-			slices.ContainsFunc(t.If, func(c wire.Cond) bool { return c.Key == leasevalue.Key })
+			slices.ContainsFunc(t.If, func(c wire.Condition) bool { return c.Key == leasevalue.Key })
 		if moves && left > 0 && w.now >= next {
 			next, left = w.now+30*time.Second, left-1
 			then(from)
--- a/internal/testkit/simtest/night.go
+++ b/internal/testkit/simtest/night.go
@@ -43,10 +43,10 @@
 	looks    map[int]int              // answers to close looks, by their status
 	looked   map[moment]int           // close looks, by what they came right after
 	forNext  int                      // of a hundred reports a copy of so many is kept for the next leader
-	kept     []wire.Report
-	copied   []wire.Report // have come to the next leader, and come once more
-	leader   string        // by the value stored last
-	grants   uint64        // in it
+	kept     []wire.Heartbeat
+	copied   []wire.Heartbeat // have come to the next leader, and come once more
+	leader   string           // by the value stored last
+	grants   uint64           // in it
 }
 
 // mustTell tells whether a controller may alone know of what the state has lost: with
@@ -122,7 +122,7 @@
 
 // copyLate has some controller get a report once more, from a moment to three
 // leases late. Nobody reads the answer.
-func (w *World) copyLate(r wire.Report) {
+func (w *World) copyLate(r wire.Heartbeat) {
 	if w.night.copies == 0 || w.rng.IntN(100) >= w.night.copies {
 		return
 	}
--- a/internal/testkit/simtest/rollout_test.go
+++ b/internal/testkit/simtest/rollout_test.go
@@ -120,7 +120,7 @@
 	for _, n := range w.nodes {
 		var rec wire.ControllerRecord
 		if v, ok := w.store.values["fc/g/n/"+n.name]; ok && wire.Decode(v.data, &rec) == nil {
-			out = append(out, rec.Waits...)
+			out = append(out, rec.LevelBlockers...)
 		}
 	}
 	return out
@@ -221,7 +221,7 @@
 		"cut off":       {func(w *World, i int) { w.alone(i, 50*time.Second) }, "is not heard"},
 		"older":         {func(w *World, i int) { w.Install(i, before, time.Second) }, "told its level as an earlier process"},
 		"one too old":   {func(w *World, i int) { w.Install(i, middle, time.Second) }, "version up to level 1 follows levels 0 to 1 only"},
-		"no word given": {func(w *World, i int) { w.word(wire.WordRecord{Form: 1, Hold: true}) }, "waits for the operator, who holds it"},
+		"no word given": {func(w *World, i int) { w.word(wire.OperatorRequest{Form: 1, HoldLevel: true}) }, "waits for the operator, who holds it"},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -246,7 +246,7 @@
 			case "older", "one too old":
 				w.Install(victim, newest, time.Second)
 			case "no word given":
-				w.word(wire.WordRecord{Form: 1, Level: uint32(gate.Newest), Hold: true})
+				w.word(wire.OperatorRequest{Form: 1, TargetLevel: uint32(gate.Newest), HoldLevel: true})
 			}
 			r.finish(500 * time.Second)
 			if st := r.level(); st.Confirmed != gate.Newest {
@@ -266,7 +266,7 @@
 }
 
 // word stores the operator's word.
-func (w *World) word(rec wire.WordRecord) {
+func (w *World) word(rec wire.OperatorRequest) {
 	w.store.txn(wire.Txn{Then: []wire.Op{{Put: "fc/g/word", Value: rec}}})
 }
 
@@ -284,7 +284,7 @@
 			Tasks: 1, CPUs: 8, MemoryGB: 1000, Image: "img-0"}, Owner: "n0"}
 		for _, part := range cluster.Parts(w.nodes[0].core.Homes(), "free") {
 			if i%3 == slices.Index(cluster.Parts(w.nodes[0].core.Homes(), "free"), part) {
-				rec.Part = part
+				rec.Shard = part
 			}
 		}
 		w.writes = 1000
--- a/internal/testkit/simtest/services.go
+++ b/internal/testkit/simtest/services.go
@@ -136,7 +136,7 @@
 			if err != nil {
 				panic(err)
 			}
-			if wire.Missing(data) {
+			if wire.IsAbsent(data) {
 				s.w.breakRule("no value: %s", op.Put)
 			}
 			if len(data) > int(s.w.cfg.State.ValueKB*1024) {
@@ -232,8 +232,8 @@
 	outage  time.Duration // it refuses everything until then
 }
 
-func (c *simCloud) rent(r wire.Rent) step.Completed {
-	if names, ok := c.answers[r.Request]; ok {
+func (c *simCloud) rent(r wire.InstanceRequest) step.Completed {
+	if names, ok := c.answers[r.ID]; ok {
 		return step.Completed{Status: 200, Names: names}
 	}
 	live := 0
@@ -242,7 +242,7 @@
 			live++
 		}
 	}
-	n := min(r.Number, c.w.most-live)
+	n := min(r.Count, c.w.most-live)
 	if n <= 0 || c.w.rng.IntN(6) == 0 {
 		return step.Completed{Status: 503}
 	}
@@ -271,7 +271,7 @@
 		}
 		c.w.after(boot, k.begin)
 	}
-	c.answers[r.Request] = names
+	c.answers[r.ID] = names
 	return step.Completed{Status: 200, Names: names}
 }
 
@@ -408,8 +408,8 @@
 			return false
 		}
 	}
-	moved := recs[0].Part != recs[1].Part
-	recs[0].Part, recs[0].Owner = recs[1].Part, recs[1].Owner
+	moved := recs[0].Shard != recs[1].Shard
+	recs[0].Shard, recs[0].Owner = recs[1].Shard, recs[1].Owner
 	return moved && reflect.DeepEqual(recs[0], recs[1])
 }
 
--- a/internal/testkit/simtest/world.go
+++ b/internal/testkit/simtest/world.go
@@ -496,7 +496,7 @@
 				if !e.Until.IsZero() && !n.clock().Before(e.Until) {
 					e = step.Reply{Req: e.Req, Status: 503}
 				}
-				if a, ok := e.Body.(wire.ReportAnswer); ok {
+				if a, ok := e.Body.(wire.HeartbeatAnswer); ok {
 					w.seeStarts(a.Commands)
 				}
 				f(e)
@@ -613,7 +613,7 @@
 // seeToken breaks a rule when a start is sent with a token above all that its worker has
 // seen: no raise of what the worker has shown makes it void while it is held on its way.
 func (w *World) seeToken(from string, e step.Direct) {
-	starts := slices.ContainsFunc(e.Body.Commands, func(c wire.Command) bool { return c.Op == wire.OpStart })
+	starts := slices.ContainsFunc(e.Body.Commands, func(c wire.Command) bool { return c.Op == wire.CommandStart })
 	if k := w.workers[workerAt(e.Endpoint)]; starts && k != nil && e.Body.Token > k.most {
 		w.breakRule("%s sends a start to %s with token %d, which has seen %d", from, k.name, e.Body.Token, k.most)
 	}
@@ -624,7 +624,7 @@
 // without news of that.
 func (w *World) seeStarts(commands []wire.Command) {
 	for _, c := range commands {
-		if c.Op != wire.OpStart {
+		if c.Op != wire.CommandStart {
 			continue
 		}
 		w.sent++
--- a/internal/testkit/simtest/world_test.go
+++ b/internal/testkit/simtest/world_test.go
@@ -377,15 +377,15 @@
 	w.Run(time.Second) // soon enough for the machine still to be in a block
 	kept := 0
 	for range 3 { // the first time the worker is sent back to its owner
-		report.Seq++
+		report.Sequence++
 		w.nodes[other].ask(func(req uint64) step.Event { return step.ReportIn{Req: req, Report: report} },
 			func(r step.Reply) {
-				a, ok := r.Body.(wire.ReportAnswer)
+				a, ok := r.Body.(wire.HeartbeatAnswer)
 				if !ok || r.Status != 200 {
 					return
 				}
 				kept++
-				if len(a.Commands) != len(report.Tasks) || a.Commands[0].Op != wire.OpHalt {
+				if len(a.Commands) != len(report.Tasks) || a.Commands[0].Op != wire.CommandHalt {
 					t.Errorf("kept alive with commands %v", a.Commands)
 				}
 			})
--- a/internal/upgrade/upgrade.go
+++ b/internal/upgrade/upgrade.go
@@ -82,7 +82,7 @@
 		return nil, err
 	}
 	p := &Picture{Level: gate.Level(rec.Level), Confirmed: gate.Level(rec.Confirmed), Generation: rec.Generation,
-		Form: max(1, rec.Form), Term: rec.Term, Beat: rec.Beat}
+		Form: max(1, rec.Form), Term: rec.Term, Beat: rec.Sequence}
 	told, err := p.readTold(ctx, store)
 	if err != nil {
 		return nil, err
@@ -94,19 +94,19 @@
 	slices.Sort(names)
 	for _, name := range names {
 		b, r := rec.Blocks[name], told[name]
-		c := Controller{Name: name, Leads: name == rec.Leader, Version: r.Version, Oldest: r.Oldest, Newest: r.Newest, Seen: r.Seen,
+		c := Controller{Name: name, Leads: name == rec.Leader, Version: r.Version, Oldest: r.OldestLevel, Newest: r.NewestLevel, Seen: r.SeenLevel,
 			Ready: r.Ready, Process: r.Incarnation, Holder: b.Incarnation, Renewal: b.Renewal,
-			Machines: len(b.Machines) + len(b.Old), Unheard: r.Unheard, Left: r.Left}
-		if r.AtMs > 0 {
-			c.Told = time.UnixMilli(r.AtMs).UTC()
+			Machines: len(b.Machines) + len(b.Unreconciled), Unheard: r.UnreconciledMachines, Left: r.OutdatedRecords}
+		if r.UpdatedAtMs > 0 {
+			c.Told = time.UnixMilli(r.UpdatedAtMs).UTC()
 		}
 		if c.Leads {
-			p.Waits = r.Waits
+			p.Waits = r.LevelBlockers
 			if c.Older() {
 				p.Waits = []string{fmt.Sprintf("%s leads in a version from before levels, which raises none", name)}
 			}
 		}
-		p.Left += r.Left
+		p.Left += r.OutdatedRecords
 		p.Controllers = append(p.Controllers, c)
 	}
 	return p, nil
@@ -146,11 +146,11 @@
 	told := map[string]wire.ControllerRecord{}
 	return told, each(ctx, store, controller.LevelPrefix, func(pair wire.Pair) error {
 		if pair.Key == controller.WordKey {
-			var w wire.WordRecord
+			var w wire.OperatorRequest
 			if err := open(pair, &w, func() int { return w.Form }); err != nil {
 				return err
 			}
-			p.Asked, p.Hold, p.word = gate.Level(w.Level), w.Hold, pair.Version
+			p.Asked, p.Hold, p.word = gate.Level(w.TargetLevel), w.HoldLevel, pair.Version
 			return nil
 		}
 		var r wire.ControllerRecord
@@ -202,8 +202,8 @@
 
 // Ask gives the operator's word, in place of the one that the picture shows.
 func (p *Picture) Ask(ctx context.Context, store Store, word gate.Word, at time.Time) error {
-	rec := wire.WordRecord{Form: wire.ControllerForm, Level: uint32(word.Level), Hold: word.Hold, AtMs: at.UnixMilli()}
-	status, _, err := store.Txn(ctx, wire.Txn{If: []wire.Cond{{Key: controller.WordKey, Version: p.word}},
+	rec := wire.OperatorRequest{Form: wire.ControllerForm, TargetLevel: uint32(word.Level), HoldLevel: word.Hold, UpdatedAtMs: at.UnixMilli()}
+	status, _, err := store.Txn(ctx, wire.Txn{If: []wire.Condition{{Key: controller.WordKey, Version: p.word}},
 		Then: []wire.Op{{Put: controller.WordKey, Value: rec}}}, false)
 	switch status {
 	case 200:
--- a/internal/wire/cloud.go
+++ b/internal/wire/cloud.go
@@ -4,7 +4,7 @@
 type MachineType struct {
 	Name      string   `msgpack:"sku"`
 	CPUs      float64  `msgpack:"vcpus"`
-	Cards     float64  `msgpack:"cards"`
+	GPUs      float64  `msgpack:"cards"`
 	MemoryGB  float64  `msgpack:"memoryGb"`
 	CacheGB   float64  `msgpack:"cacheGb"`
 	FetchGBPS float64  `msgpack:"pullGbPerS"`
@@ -19,20 +19,20 @@
 	Types []MachineType `msgpack:"kalupi"`
 }
 
-// MaxRent and MaxRelease bound one request; MaxList one page.
+// MaxInstancesPerRequest and MaxDeletesPerRequest bound one request; MaxInstancesPerPage one page.
 const (
-	MaxRent    = 50
-	MaxRelease = 100
-	MaxList    = 500
+	MaxInstancesPerRequest = 50
+	MaxDeletesPerRequest   = 100
+	MaxInstancesPerPage    = 500
 )
 
 // Rent asks for machines.
-type Rent struct {
-	Request string `msgpack:"narudzba"`
-	Type    string `msgpack:"kalup"`
-	Zone    string `msgpack:"dvoriste"`
-	Spot    bool   `msgpack:"posudba"`
-	Number  int    `msgpack:"number"`
+type InstanceRequest struct {
+	ID    string `msgpack:"narudzba"`
+	Type  string `msgpack:"kalup"`
+	Zone  string `msgpack:"dvoriste"`
+	Spot  bool   `msgpack:"posudba"`
+	Count int    `msgpack:"number"`
 }
 
 // Names is a list of machine names.
--- a/internal/wire/envelope.go
+++ b/internal/wire/envelope.go
@@ -35,15 +35,15 @@
 	// Born is the version under which the record was first stored, if it has
 	// been rewritten since; 0: it has not. A record's age tells whether an
 	// earlier owner may have started its tasks, so a rewrite must not hide it.
-	Born    uint64             `msgpack:"b,omitempty"`
-	Value   msgpack.RawMessage `msgpack:"v"`
-	Unknown Fields             `msgpack:"-"`
+	FirstVersion uint64             `msgpack:"b,omitempty"`
+	Value        msgpack.RawMessage `msgpack:"v"`
+	Unknown      Fields             `msgpack:"-"`
 }
 
 // Wrap puts a value into an envelope.
 func Wrap(v any, generation, born uint64) (Envelope, error) {
 	raw, err := Encode(v)
-	return Envelope{Form: EnvelopeForm, Generation: generation, Born: born, Value: raw}, err
+	return Envelope{Form: EnvelopeForm, Generation: generation, FirstVersion: born, Value: raw}, err
 }
 
 // Unwrap takes a stored value out of its envelope. A value of an earlier version
--- a/internal/wire/envelope_test.go
+++ b/internal/wire/envelope_test.go
@@ -10,7 +10,7 @@
 // TestEnvelopes: records in an envelope, as earlier versions store them, from the
 // future, truncated, and of the wrong kind.
 func TestEnvelopes(t *testing.T) {
-	rec := JobRecord{Job: Job{ID: "wk-000001", Team: "red", Tasks: 3}, Owner: "n0", AtMs: 17}
+	rec := JobRecord{Job: Job{ID: "wk-000001", Team: "red", Tasks: 3}, Owner: "n0", SubmittedAtMs: 17}
 	env, err := Wrap(rec, 4, 99)
 	if err != nil {
 		t.Fatal(err)
@@ -32,7 +32,7 @@
 		if err != nil || !reflect.DeepEqual(back, rec) {
 			t.Errorf("%s: %+v, %v", name, back, err)
 		}
-		if name == "wrapped" && (got.Form != EnvelopeForm || got.Generation != 4 || got.Born != 99) {
+		if name == "wrapped" && (got.Form != EnvelopeForm || got.Generation != 4 || got.FirstVersion != 99) {
 			t.Errorf("%+v", got)
 		}
 	}
@@ -81,7 +81,7 @@
 
 func BenchmarkEnvelope(b *testing.B) {
 	rec := JobRecord{Job: Job{ID: "wk-000001", Class: "nightly", Team: "red", Shape: Array, Priority: "standard", Tasks: 30, CPUs: 4, MemoryGB: 8,
-		Image: "img-07", ImageGB: 3, Spot: true, EstimateS: 80}, Owner: "n0", Part: "red #3", AtMs: 1772344800000}
+		Image: "img-07", ImageGB: 3, Spot: true, EstimateS: 80}, Owner: "n0", Shard: "red #3", SubmittedAtMs: 1772344800000}
 	plain, err := Encode(rec)
 	if err != nil {
 		b.Fatal(err)
--- a/internal/wire/nameset_test.go
+++ b/internal/wire/nameset_test.go
@@ -13,27 +13,27 @@
 func TestLargestFleetFits(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	for _, c := range []struct{ machines, born, limit int }{{700, 2500, 4 << 10}, {1600, 6000, 8 << 10}} {
-		rec := LeaseRecord{Term: 77, Leader: "controller-3", Incarnation: 1 << 41, Grants: 1 << 23,
-			Blocks: map[string]Block{}, Homes: map[string]string{"a team": "controller-2"}, Waiting: map[string]int{"kind": 1000}}
+		rec := LeaseRecord{Term: 77, Leader: "controller-3", Incarnation: 1 << 41, LastGrant: 1 << 23,
+			Blocks: map[string]Block{}, Partitions: map[string]string{"a team": "controller-2"}, Waiting: map[string]int{"kind": 1000}}
 		for _, n := range rng.Perm(c.born)[:c.machines] {
 			node := fmt.Sprintf("controller-%d", rng.IntN(5))
 			b := rec.Blocks[node]
 			name := fmt.Sprintf("host-%06d", n)
 			if rng.IntN(2) == 0 {
-				b.Old = append(b.Old, name)
+				b.Unreconciled = append(b.Unreconciled, name)
 			} else {
 				b.Machines = append(b.Machines, name)
 			}
 			if rng.IntN(5) == 0 {
-				b.Recall = append(b.Recall, name)
+				b.Draining = append(b.Draining, name)
 			}
 			b.Grant, b.Incarnation, b.Renewal = 1<<23, 1<<41, 500
 			rec.Blocks[node] = b
 		}
 		for node, b := range rec.Blocks {
 			slices.Sort(b.Machines)
-			slices.Sort(b.Old)
-			slices.Sort(b.Recall)
+			slices.Sort(b.Unreconciled)
+			slices.Sort(b.Draining)
 			rec.Blocks[node] = b
 		}
 		body, err := Encode(rec)
@@ -48,8 +48,8 @@
 			t.Fatal(err)
 		}
 		for node, b := range rec.Blocks {
-			if !slices.Equal(b.Machines, back.Blocks[node].Machines) || !slices.Equal(b.Old, back.Blocks[node].Old) ||
-				!slices.Equal(b.Recall, back.Blocks[node].Recall) {
+			if !slices.Equal(b.Machines, back.Blocks[node].Machines) || !slices.Equal(b.Unreconciled, back.Blocks[node].Unreconciled) ||
+				!slices.Equal(b.Draining, back.Blocks[node].Draining) {
 				t.Errorf("%s came back otherwise", node)
 			}
 		}
--- a/internal/wire/state.go
+++ b/internal/wire/state.go
@@ -24,7 +24,7 @@
 }
 
 // Cond demands a version of a key; 0 demands its absence.
-type Cond struct {
+type Condition struct {
 	Key     string `msgpack:"path"`
 	Version uint64 `msgpack:"inacica"`
 }
@@ -54,14 +54,14 @@
 
 // Missing tells whether a stored value is not there: earlier versions put empty maps
 // without one.
-func Missing(value msgpack.RawMessage) bool {
+func IsAbsent(value msgpack.RawMessage) bool {
 	return len(value) == 0 || (len(value) == 1 && value[0] == msgpcode.Nil)
 }
 
 // Txn is an atomic change.
 type Txn struct {
-	If   []Cond `msgpack:"if"`
-	Then []Op   `msgpack:"apply"`
+	If   []Condition `msgpack:"if"`
+	Then []Op        `msgpack:"apply"`
 }
 
 // TxnAnswer is the outcome of a transaction.
@@ -89,9 +89,9 @@
 	Job   `msgpack:",inline"`
 	Owner string `msgpack:"owner"`
 	// Part is set when the jobs of its team are parted over controllers.
-	Part string `msgpack:"part,omitempty"`
-	// AtMs is the time of day of the submission, in milliseconds.
-	AtMs int64 `msgpack:"at_ms"`
+	Shard string `msgpack:"part,omitempty"`
+	// SubmittedAtMs is the time of day of the submission, in milliseconds.
+	SubmittedAtMs int64 `msgpack:"at_ms"`
 	// Unknown are fields of a newer version.
 	Unknown Fields `msgpack:"-"`
 }
@@ -110,10 +110,10 @@
 	Term        uint64            `msgpack:"term"`
 	Leader      string            `msgpack:"leader"`
 	Incarnation uint64            `msgpack:"inc"`
-	Grants      uint64            `msgpack:"grants"`
-	Beat        uint64            `msgpack:"beat"`
+	LastGrant   uint64            `msgpack:"grants"`
+	Sequence    uint64            `msgpack:"beat"`
 	Blocks      map[string]Block  `msgpack:"blocks"`
-	Homes       map[string]string `msgpack:"homes"`
+	Partitions  map[string]string `msgpack:"homes"`
 	// Waiting is the sum of waiting tasks per machine kind.
 	Waiting map[string]int `msgpack:"waiting"`
 	// Form and Shares are stored by package leasevalue only: they are unknown
@@ -137,30 +137,30 @@
 	Form        int    `msgpack:"f"`
 	Incarnation uint64 `msgpack:"inc"`
 	Version     string `msgpack:"version"`
-	Oldest      uint32 `msgpack:"oldest"` // levels it can work under
-	Newest      uint32 `msgpack:"newest"`
-	Seen        uint32 `msgpack:"seen"`  // level it has read
+	OldestLevel uint32 `msgpack:"oldest"` // levels it can work under
+	NewestLevel uint32 `msgpack:"newest"`
+	SeenLevel   uint32 `msgpack:"seen"`  // level it has read
 	Ready       bool   `msgpack:"ready"` // serves users
 	// Unheard is how many machines of its block may run tasks that it does not
 	// know of.
-	Unheard int `msgpack:"unheard"`
+	UnreconciledMachines int `msgpack:"unheard"`
 	// Left is how many records of its homes are still in an earlier form.
-	Left int `msgpack:"left"`
+	OutdatedRecords int `msgpack:"left"`
 	// Waits is what keeps the level from being raised, told by who leads.
-	Waits []string `msgpack:"waits,omitempty"`
-	AtMs  int64    `msgpack:"at_ms"`
+	LevelBlockers []string `msgpack:"waits,omitempty"`
+	UpdatedAtMs   int64    `msgpack:"at_ms"`
 }
 
 // ControllerForm is the newest form of controllers' records and of the
 // operator's word.
 const ControllerForm = 1
 
-// WordRecord is what the operator has asked for.
-type WordRecord struct {
-	Form  int    `msgpack:"f"`
-	Level uint32 `msgpack:"level"` // to be raised to; 0: none
-	Hold  bool   `msgpack:"hold"`  // no raise without a word
-	AtMs  int64  `msgpack:"at_ms"`
+// OperatorRequest is what the operator has asked for.
+type OperatorRequest struct {
+	Form        int    `msgpack:"f"`
+	TargetLevel uint32 `msgpack:"level"` // to be raised to; 0: none
+	HoldLevel   bool   `msgpack:"hold"`  // no raise without a word
+	UpdatedAtMs int64  `msgpack:"at_ms"`
 }
 
 // Clone returns a copy whose blocks, homes and shares can be changed; the sets
@@ -171,9 +171,9 @@
 	if out.Blocks == nil {
 		out.Blocks = map[string]Block{}
 	}
-	out.Homes = maps.Clone(r.Homes)
-	if out.Homes == nil {
-		out.Homes = map[string]string{}
+	out.Partitions = maps.Clone(r.Partitions)
+	if out.Partitions == nil {
+		out.Partitions = map[string]string{}
 	}
 	if r.Shares != nil {
 		out.Shares = make(map[string]Shares, len(r.Shares))
@@ -187,34 +187,37 @@
 // partMark parts a team's name from the number of a part.
 const partMark = " #"
 
-// PartName names part k of a team's jobs.
-func PartName(team string, k int) string { return team + partMark + strconv.Itoa(k) }
+// ShardName names part k of a team's jobs.
+func ShardName(team string, k int) string { return team + partMark + strconv.Itoa(k) }
 
-// CutPart takes the name of a home apart: the team, and the part of its jobs if
+// SplitShard takes the name of a home apart: the team, and the part of its jobs if
 // it is one.
-func CutPart(home string) (team, part string, isPart bool) { return strings.Cut(home, partMark) }
+func SplitShard(home string) (team, part string, isPart bool) { return strings.Cut(home, partMark) }
 
-// IsHome tells whether a home is that of the team's jobs, or of a part of them.
-func IsHome(home, team string) bool { return home == team || IsPart(home, team) }
+// IsPartitionOf tells whether a home is that of the team's jobs, or of a part of them.
+func IsPartitionOf(home, team string) bool { return home == team || IsShardOf(home, team) }
 
-// IsPart tells whether a home is that of a part of the team's jobs.
-func IsPart(home, team string) bool { return strings.HasPrefix(home, team+partMark) }
+// IsShardOf tells whether a home is that of a part of the team's jobs.
+func IsShardOf(home, team string) bool { return strings.HasPrefix(home, team+partMark) }
 
 // Shares are the parts of a team's limit by controller.
 type Shares map[string]Share
 
 // Share is what the tasks of a team may use on one controller's machines, in
 // whole processors and cards.
-type Share struct{ CPUs, Cards int }
+type Share struct {
+	CPUs int `msgpack:"CPUs"`
+	GPUs int `msgpack:"Cards"`
+}
 
 // Block is what one controller holds. Old machines came to it from a holder
 // that ended without giving them up, so they may run tasks it knows nothing of.
 type Block struct {
-	Grant       uint64  `msgpack:"grant"`
-	Incarnation uint64  `msgpack:"inc"`
-	Renewal     uint64  `msgpack:"renewal"`
-	Machines    NameSet `msgpack:"machines"`
-	Old         NameSet `msgpack:"old"`
+	Grant        uint64  `msgpack:"grant"`
+	Incarnation  uint64  `msgpack:"inc"`
+	Renewal      uint64  `msgpack:"renewal"`
+	Machines     NameSet `msgpack:"machines"`
+	Unreconciled NameSet `msgpack:"old"`
 	// Recall names machines the leader wants back once they are empty.
-	Recall NameSet `msgpack:"recall,omitempty"`
+	Draining NameSet `msgpack:"recall,omitempty"`
 }
--- a/internal/wire/users.go
+++ b/internal/wire/users.go
@@ -40,7 +40,7 @@
 	Priority    string   `msgpack:"hitnost"`
 	Tasks       int      `msgpack:"komadi"`
 	CPUs        float64  `msgpack:"vcpus"`
-	Cards       float64  `msgpack:"cards"`
+	GPUs        float64  `msgpack:"cards"`
 	MemoryGB    float64  `msgpack:"memoryGb"`
 	Image       string   `msgpack:"otisak"`
 	ImageGB     float64  `msgpack:"pullGb"`
@@ -117,7 +117,7 @@
 		f.fail("komadi")
 	}
 	j.CPUs = f.amount("vcpus")
-	j.Cards = f.amount("cards")
+	j.GPUs = f.amount("cards")
 	j.MemoryGB = f.amount("memoryGb")
 	j.Image = f.text("otisak")
 	j.ImageGB = f.amount("pullGb")
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -76,7 +76,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	in := JobRecord{Job: j, Owner: "n1", AtMs: 12}
+	in := JobRecord{Job: j, Owner: "n1", SubmittedAtMs: 12}
 	b, err := Encode(in)
 	if err != nil {
 		t.Fatal(err)
@@ -96,8 +96,8 @@
 	if err := Decode(pack(t, map[string]any{"uid": "host-000001", "heldS": 4, "posudba": nil}), &m); err != nil || m.AgeS != 4 {
 		t.Errorf("%+v, %v", m, err)
 	}
-	var r Report
-	if err := Decode(pack(t, map[string]any{"stroj": "host-000001", "smjena": uint8(3), "redni": int64(9), "najavaS": 5}), &r); err != nil || r.Session != 3 || *r.NoticeS != 5 {
+	var r Heartbeat
+	if err := Decode(pack(t, map[string]any{"stroj": "host-000001", "smjena": uint8(3), "redni": int64(9), "najavaS": 5}), &r); err != nil || r.AgentEpoch != 3 || *r.NoticeS != 5 {
 		t.Errorf("%+v, %v", r, err)
 	}
 }
@@ -120,7 +120,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if put := got.Then[0]; len(put) != 2 || !bytes.Equal(put["data"], want) || Missing(put["data"]) {
+		if put := got.Then[0]; len(put) != 2 || !bytes.Equal(put["data"], want) || IsAbsent(put["data"]) {
 			t.Errorf("put of %#v: %v", v, put)
 		}
 		if del := got.Then[1]; len(del) != 1 || len(del["drop"]) == 0 {
