--- a/cmd/fawncove/check.go
+++ b/cmd/fawncove/check.go
@@ -8,7 +8,7 @@
 	"github.com/spf13/cobra"
 
 	"fawncove/internal/config"
-	"fawncove/internal/core/gate"
+	"fawncove/internal/core/feature"
 )
 
 const (
@@ -78,7 +78,7 @@
 		Short: "Print the version",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			_, err := fmt.Fprintf(cmd.OutOrStdout(), "fawncove %s, levels %d to %d\n", buildVersion(), gate.Oldest, gate.Newest)
+			_, err := fmt.Fprintf(cmd.OutOrStdout(), "fawncove %s, levels %d to %d\n", buildVersion(), feature.Oldest, feature.Newest)
 			return err
 		},
 	}
--- a/cmd/fawncove/recover.go
+++ b/cmd/fawncove/recover.go
@@ -9,7 +9,7 @@
 	"github.com/dustin/go-humanize"
 	"github.com/spf13/cobra"
 
-	"fawncove/internal/core/rebuild"
+	"fawncove/internal/core/recovery"
 )
 
 func recoverCommand() *cobra.Command {
@@ -17,7 +17,7 @@
 	var o operator
 	cmd.AddCommand(o.jsonFlag(o.stateCommand("status", "Show the state's generation and the last rebuild; ends with 3 while one is under way",
 		func(r *rollout) error {
-			g, found, err := rebuild.Read(r.ctx, r.store)
+			g, found, err := recovery.Read(r.ctx, r.store)
 			switch {
 			case err != nil:
 				return err
@@ -34,19 +34,19 @@
 	return cmd
 }
 
-func printGeneration(out io.Writer, g rebuild.Generation, found bool) error {
-	at := time.UnixMilli(g.AtMs)
+func printGeneration(out io.Writer, g recovery.Generation, found bool) error {
+	at := time.UnixMilli(g.RecoveredAtMs)
 	var err error
 	switch {
 	case !found:
 		_, err = fmt.Fprintln(out, "generation 1: the state has never been rebuilt")
 	case g.Rebuilding:
-		_, err = fmt.Fprintf(out, "generation %d has lost data; %s noticed %s, and it is being rebuilt\n", g.Generation, g.By, humanize.Time(at))
+		_, err = fmt.Fprintf(out, "generation %d has lost data; %s noticed %s, and it is being rebuilt\n", g.Generation, g.Controller, humanize.Time(at))
 	default:
 		_, err = fmt.Fprintf(out, `generation %d, rebuilt by %s %s (%s) in %v
 revision %d had been seen, %d was found
 stored again: %d jobs, %d ends; %d machines were taken over
-`, g.Generation, g.By, humanize.Time(at), at.UTC().Format(time.RFC3339), time.Duration(g.TookMs)*time.Millisecond, g.Lost, g.Found, g.Jobs, g.Ends, g.Machines)
+`, g.Generation, g.Controller, humanize.Time(at), at.UTC().Format(time.RFC3339), time.Duration(g.TookMs)*time.Millisecond, g.RevisionSeen, g.RevisionFound, g.Jobs, g.Ends, g.Machines)
 	}
 	return err
 }
--- a/cmd/fawncove/serve.go
+++ b/cmd/fawncove/serve.go
@@ -44,12 +44,12 @@
 				return err
 			}
 			par := cluster.Defaults()
-			par.Version, par.RaiseAfter = buildVersion(), raiseAfter
+			par.Version, par.RaiseLevelAfter = buildVersion(), raiseAfter
 			return serve(cmd.Context(), s, par, log)
 		},
 	}
 	configFlag(cmd, &path)
-	cmd.Flags().DurationVar(&raiseAfter, "raise-after", cluster.RaiseAfter,
+	cmd.Flags().DurationVar(&raiseAfter, "raise-after", cluster.DefaultRaiseLevelAfter,
 		"raise the cluster's level when all controllers could follow for so long; 0: only when asked")
 	return cmd
 }
--- a/cmd/fawncove/served.go
+++ b/cmd/fawncove/served.go
@@ -9,7 +9,7 @@
 
 	"github.com/spf13/cobra"
 
-	"fawncove/internal/core/served"
+	"fawncove/internal/core/servicereport"
 )
 
 func servedCommand() *cobra.Command {
@@ -23,7 +23,7 @@
 was served or one of the largest began after four minutes.`,
 		Args: cobra.MinimumNArgs(1),
 		RunE: func(cmd *cobra.Command, paths []string) error {
-			var sum served.Sum
+			var sum servicereport.Summary
 			for _, path := range paths {
 				f, err := os.Open(path)
 				if err != nil {
@@ -43,7 +43,7 @@
 }
 
 // printServed prints the rows; exit status 1 says that a day with them fails.
-func printServed(out io.Writer, rows []served.Row, asJSON bool) error {
+func printServed(out io.Writer, rows []servicereport.Row, asJSON bool) error {
 	failed := false
 	for _, r := range rows {
 		failed = failed || r.Failed != ""
@@ -62,8 +62,8 @@
 			if r.Largest > 0 {
 				largest, part = fmt.Sprint(r.Largest), fmt.Sprintf("%.3f", r.LargestShare)
 			}
-			fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%.3f\t%.0f s\t%s\t%s\t%s\n", r.Kind, r.Name, r.Came, r.Accepted,
-				r.Begun, r.Late, r.Ended, r.Cancelled, r.Share, r.OldestS, largest, part, r.Failed)
+			fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%.3f\t%.0f s\t%s\t%s\t%s\n", r.Kind, r.Name, r.Submitted, r.Accepted,
+				r.Started, r.StartedLate, r.Ended, r.Cancelled, r.Share, r.OldestS, largest, part, r.Failed)
 		}
 		if err := w.Flush(); err != nil {
 			return err
--- a/cmd/fawncove/upgrade.go
+++ b/cmd/fawncove/upgrade.go
@@ -14,7 +14,7 @@
 	"github.com/spf13/cobra"
 
 	"fawncove/internal/config"
-	"fawncove/internal/core/gate"
+	"fawncove/internal/core/feature"
 	"fawncove/internal/edge/statestore"
 	"fawncove/internal/upgrade"
 )
@@ -156,10 +156,10 @@
 		fmt.Fprintln(out, "  "+w)
 	}
 	fmt.Fprintln(out)
-	for _, g := range gate.All() {
+	for _, g := range feature.All() {
 		i := g.Info()
 		state := "closed"
-		if (gate.State{Level: p.Level, Confirmed: p.Confirmed}).Open(g) {
+		if (feature.State{Level: p.Level, Confirmed: p.Confirmed}).Open(g) {
 			state = "open"
 		}
 		if _, err := fmt.Fprintf(out, "gate %-12s level %d, since version %s: %s\n", i.Name, i.Level, i.Version, state); err != nil {
@@ -233,7 +233,7 @@
 	var wait time.Duration
 	cmd := o.command("raise", "Have the level raised as soon as every controller can follow; there is no way back",
 		func(r *rollout) error {
-			to := gate.Level(level)
+			to := feature.Level(level)
 			if to == 0 {
 				to = r.now.Newest()
 			}
@@ -245,7 +245,7 @@
 				fmt.Fprintf(r.out, "not now: %s\n", strings.Join(lacking, "; "))
 				return exitNotNow
 			}
-			if err := r.now.Ask(r.ctx, r.store, gate.Word{Level: to, Hold: r.now.Hold}, time.Now()); err != nil {
+			if err := r.now.Ask(r.ctx, r.store, feature.OperatorRequest{TargetLevel: to, Hold: r.now.Hold}, time.Now()); err != nil {
 				return err
 			}
 			fmt.Fprintf(r.out, "level %d is asked for\n", to)
@@ -257,7 +257,7 @@
 }
 
 // confirmed waits until all controllers have confirmed a level.
-func (r *rollout) confirmed(to gate.Level, wait time.Duration) error {
+func (r *rollout) confirmed(to feature.Level, wait time.Duration) error {
 	if wait <= 0 {
 		return nil
 	}
@@ -282,7 +282,7 @@
 	var o operator
 	var off bool
 	cmd := o.command("hold", "Keep the level from being raised by itself", func(r *rollout) error {
-		if err := r.now.Ask(r.ctx, r.store, gate.Word{Hold: !off}, time.Now()); err != nil {
+		if err := r.now.Ask(r.ctx, r.store, feature.OperatorRequest{Hold: !off}, time.Now()); err != nil {
 			return err
 		}
 		said := "held: nothing is raised until it is asked for"
--- a/internal/config/budget.go
+++ b/internal/config/budget.go
@@ -73,7 +73,7 @@
 // in the worst case: all of them just taken over, names with gaps, many
 // recalled.
 func (s *Settings) FleetRoom() int {
-	return leasevalue.Room(s.ValueLimits(), s.Controllers(), len(s.Cluster.Teams))
+	return leasevalue.Capacity(s.ValueLimits(), s.Controllers(), len(s.Cluster.Teams))
 }
 
 // ValueLimits are the limits for the lease value and its pages.
--- a/internal/core/grant/grant.go
+++ b/internal/core/blocklease/blocklease.go
@@ -1,4 +1,4 @@
-// Package grant is what a controller may do under its block lease, and until
+// Package blocklease is what a controller may do under its block lease, and until
 // when. It decides from the controller's own steady clock and from what the
 // lease value says; it knows neither machines nor messages.
 //
@@ -8,14 +8,14 @@
 //   - Tokens and attempts are made of the grant, which rises with every holder
 //     and every process of a holder, so that none is ever used twice.
 //   - A process that has lost its block is a new one to everybody from then on.
-package grant
+package blocklease
 
 import (
 	"slices"
 	"time"
 
 	"fawncove/internal/core/cluster"
-	"fawncove/internal/core/share"
+	"fawncove/internal/core/quota"
 	"fawncove/internal/wire"
 )
 
@@ -31,7 +31,7 @@
 	renewals uint64
 	sent     map[uint64]time.Time // when each renewal that is not yet honoured went out
 	attempts uint64
-	promises share.Holder
+	promises quota.Reservations
 	yields   []yield
 	hurry    bool
 }
@@ -53,7 +53,7 @@
 
 // Outgrow makes the incarnation larger than another, which the lease value
 // still names for an earlier process.
-func (h *Holder) Outgrow(other uint64) { h.inc = max(h.inc, other+1) }
+func (h *Holder) RaiseIncarnation(other uint64) { h.inc = max(h.inc, other+1) }
 
 // Held tells whether there is a block.
 func (h *Holder) Held() bool { return h.grant != 0 }
@@ -62,7 +62,7 @@
 func (h *Holder) Grant() uint64 { return h.grant }
 
 // Until is the moment from which on nothing may be started any more.
-func (h *Holder) Until() time.Time { return h.until }
+func (h *Holder) Expires() time.Time { return h.until }
 
 // MayStart tells whether tasks may be started now.
 func (h *Holder) MayStart(now time.Time) bool { return h.grant != 0 && now.Before(h.until) }
@@ -73,7 +73,7 @@
 
 // Bump tells what a token of this grant was raised by; ok is false for one of
 // another grant.
-func (h *Holder) Bump(token uint64) (bump uint64, ok bool) {
+func (h *Holder) TokenIncrement(token uint64) (bump uint64, ok bool) {
 	return token & (1<<bits - 1), h.grant != 0 && token>>bits == h.grant
 }
 
@@ -87,7 +87,7 @@
 func (h *Holder) NextRenewal() uint64 { return h.renewals + 1 }
 
 // Sent notes that a renewal goes out now, and returns its number.
-func (h *Holder) Sent(now time.Time) uint64 {
+func (h *Holder) RecordRenewal(now time.Time) uint64 {
 	h.renewals++
 	h.sent[h.renewals] = now
 	return h.renewals
@@ -95,27 +95,27 @@
 
 // Hurry asks for a renewal to go out soon: there is something that the leader
 // should hear.
-func (h *Holder) Hurry() { h.hurry = true }
+func (h *Holder) RequestRenewal() { h.hurry = true }
 
 // Hurried tells whether a renewal should go out soon.
-func (h *Holder) Hurried() bool { return h.hurry }
+func (h *Holder) RenewalUrgent() bool { return h.hurry }
 
 // Calm notes that one goes out now.
-func (h *Holder) Calm() { h.hurry = false }
+func (h *Holder) RenewalSent() { h.hurry = false }
 
 // Granted takes the block as a lease value shows it, which must be one of this
 // incarnation. It tells whether the grant is another one than before.
-func (h *Holder) Granted(b wire.Block) (changed bool) {
+func (h *Holder) Renewed(b wire.Block) (changed bool) {
 	if changed = h.grant != b.Grant; changed {
 		h.grant, h.attempts = b.Grant, 0 // attempts are counted under each grant anew
 	}
-	h.promises.Honoured(b.Renewal)
+	h.promises.Acknowledge(b.Renewal)
 	h.yields = slices.DeleteFunc(h.yields, func(y yield) bool { return y.renewal <= b.Renewal })
 	sent, ok := h.sent[b.Renewal]
 	if !ok {
 		return changed
 	}
-	if until := sent.Add(cluster.Shrink(h.lease)); until.After(h.until) {
+	if until := sent.Add(cluster.LocalDuration(h.lease)); until.After(h.until) {
 		h.until = until
 	}
 	for n := range h.sent {
@@ -127,7 +127,7 @@
 }
 
 // Lose forgets the block and every right and promise that came with it.
-func (h *Holder) Lose() {
+func (h *Holder) Release() {
 	h.grant, h.until = 0, time.Time{}
 	clear(h.sent)
 	h.promises.Reset()
@@ -136,22 +136,22 @@
 
 // Promise notes that the renewal with this number promises to use no more of a
 // team's share than ceiling, and keeps to it from now on.
-func (h *Holder) Promise(renewal uint64, team string, ceiling wire.Share) {
-	h.promises.Promise(renewal, team, ceiling)
+func (h *Holder) Reserve(renewal uint64, team string, ceiling wire.Share) {
+	h.promises.Reserve(renewal, team, ceiling)
 }
 
 // Ceiling is what of a team's share in the lease value may be used: all of it,
 // or less if less was promised.
-func (h *Holder) Ceiling(team string, s wire.Share) wire.Share { return h.promises.Ceiling(team, s) }
+func (h *Holder) UsableShare(team string, s wire.Share) wire.Share { return h.promises.Usable(team, s) }
 
 // Yield notes that the renewal with this number offers to give up a home. From
 // now on nothing of it may be started.
-func (h *Holder) Yield(renewal uint64, home string) {
+func (h *Holder) OfferHandover(renewal uint64, home string) {
 	h.yields = append(h.yields, yield{renewal, home})
 }
 
 // Yielded tells whether a home is on offer. It is until a value honours the
 // renewal: that value says whether the home has moved.
-func (h *Holder) Yielded(home string) bool {
+func (h *Holder) HandoverOffered(home string) bool {
 	return slices.ContainsFunc(h.yields, func(y yield) bool { return y.home == home })
 }
--- a/internal/core/grant/grant_test.go
+++ b/internal/core/blocklease/blocklease_test.go
@@ -1,4 +1,4 @@
-package grant
+package blocklease
 
 import (
 	"testing"
@@ -14,8 +14,8 @@
 // seen half a minute late, after the successor's first starts.
 func TestRightCountsFromSending(t *testing.T) {
 	h := New(7, 20*time.Second)
-	n := h.Sent(start)
-	h.Granted(wire.Block{Grant: 5, Incarnation: 7, Renewal: n})
+	n := h.RecordRenewal(start)
+	h.Renewed(wire.Block{Grant: 5, Incarnation: 7, Renewal: n})
 	for _, c := range []struct {
 		at  time.Duration
 		may bool
@@ -24,13 +24,13 @@
 			t.Errorf("%v after it was sent: may start %v", c.at, got)
 		}
 	}
-	h.Granted(wire.Block{Grant: 5, Incarnation: 7, Renewal: n + 9}) // never sent by this process
+	h.Renewed(wire.Block{Grant: 5, Incarnation: 7, Renewal: n + 9}) // never sent by this process
 	if h.MayStart(start.Add(30 * time.Second)) {
 		t.Error("a renewal that was never sent prolongs the right")
 	}
-	later := h.Sent(start.Add(10 * time.Second))
-	h.Granted(wire.Block{Grant: 5, Incarnation: 7, Renewal: later})
-	h.Granted(wire.Block{Grant: 5, Incarnation: 7, Renewal: n})
+	later := h.RecordRenewal(start.Add(10 * time.Second))
+	h.Renewed(wire.Block{Grant: 5, Incarnation: 7, Renewal: later})
+	h.Renewed(wire.Block{Grant: 5, Incarnation: 7, Renewal: n})
 	if !h.MayStart(start.Add(25 * time.Second)) {
 		t.Error("an older renewal shortens the right")
 	}
@@ -42,7 +42,7 @@
 	h := New(7, 20*time.Second)
 	last := uint64(0)
 	for grant := uint64(1 << 16); grant < 1<<16+3; grant++ {
-		h.Granted(wire.Block{Grant: grant, Incarnation: 7})
+		h.Renewed(wire.Block{Grant: grant, Incarnation: 7})
 		if h.Token(0) <= last {
 			t.Fatalf("token %d after attempt %d", h.Token(0), last)
 		}
@@ -53,7 +53,7 @@
 			}
 			last = a
 		}
-		h.Granted(wire.Block{Grant: grant, Incarnation: 7}) // the same value again
+		h.Renewed(wire.Block{Grant: grant, Incarnation: 7}) // the same value again
 	}
 }
 
@@ -61,23 +61,23 @@
 // promise, and no renewal that a later value could honour.
 func TestLostBlockLeavesNothing(t *testing.T) {
 	h := New(7, 20*time.Second)
-	n := h.Sent(start)
-	h.Granted(wire.Block{Grant: 5, Incarnation: 7, Renewal: n})
-	h.Promise(h.NextRenewal(), "red", wire.Share{CPUs: 3})
-	old := h.Sent(start)
-	if got := h.Ceiling("red", wire.Share{CPUs: 10}); got.CPUs != 3 {
+	n := h.RecordRenewal(start)
+	h.Renewed(wire.Block{Grant: 5, Incarnation: 7, Renewal: n})
+	h.Reserve(h.NextRenewal(), "red", wire.Share{CPUs: 3})
+	old := h.RecordRenewal(start)
+	if got := h.UsableShare("red", wire.Share{CPUs: 10}); got.CPUs != 3 {
 		t.Errorf("%d processors though 3 were promised", got.CPUs)
 	}
-	h.Lose()
-	h.Outgrow(h.Incarnation())
+	h.Release()
+	h.RaiseIncarnation(h.Incarnation())
 	if h.Held() || h.MayStart(start) || h.Incarnation() != 8 {
 		t.Errorf("held %v, may start %v, incarnation %d", h.Held(), h.MayStart(start), h.Incarnation())
 	}
-	h.Granted(wire.Block{Grant: 6, Incarnation: 8, Renewal: old})
+	h.Renewed(wire.Block{Grant: 6, Incarnation: 8, Renewal: old})
 	if h.MayStart(start) {
 		t.Error("a renewal of the lost block counts for the new one")
 	}
-	if got := h.Ceiling("red", wire.Share{CPUs: 10}); got.CPUs != 10 {
+	if got := h.UsableShare("red", wire.Share{CPUs: 10}); got.CPUs != 10 {
 		t.Errorf("%d processors of a new share of 10", got.CPUs)
 	}
 }
--- a/internal/core/controller/answers_test.go
+++ b/internal/core/controller/answers_test.go
@@ -4,7 +4,7 @@
 	"testing"
 
 	"fawncove/internal/config"
-	"fawncove/internal/core/step"
+	"fawncove/internal/core/eventloop"
 	"fawncove/internal/wire"
 )
 
@@ -12,23 +12,23 @@
 // fits any, and none may be refused or accepted for that.
 func TestUnknownTypesRefuseNothing(t *testing.T) {
 	c, now := newCore(t, []config.Team{{Name: "free"}}, wire.LeaseRecord{Term: 3, Leader: "n1", Partitions: map[string]string{"free": "n1"}})
-	clear(c.view.Types)
+	clear(c.view.MachineTypes)
 	status, retry := 0, 0
-	var handle func(ev step.Event)
-	handle = func(ev step.Event) {
+	var handle func(ev eventloop.Event)
+	handle = func(ev eventloop.Event) {
 		for _, e := range c.Step(now, ev) {
 			switch e := e.(type) {
-			case step.Reply:
+			case eventloop.Reply:
 				status, retry = e.Status, e.RetryAfter
-			case step.StateTxn:
+			case eventloop.StateTxn:
 				if len(e.Txn.Then) > 0 {
 					t.Error("the job is stored")
 				}
-				handle(step.Completed{ID: e.ID, State: true, Status: 200})
+				handle(eventloop.Completion{ID: e.ID, FromStateService: true, Status: 200})
 			}
 		}
 	}
-	handle(step.SubmitIn{Req: 1, Job: wire.Job{ID: "wk-000001", Team: "free", Shape: wire.Array, Priority: "standard", Tasks: 1, CPUs: 1}})
+	handle(eventloop.SubmitRequest{Req: 1, Job: wire.Job{ID: "wk-000001", Team: "free", Shape: wire.Array, Priority: "standard", Tasks: 1, CPUs: 1}})
 	if status != 503 || retry == 0 {
 		t.Errorf("answered %d, to come back after %d s", status, retry)
 	}
@@ -49,37 +49,37 @@
 		return b
 	}
 	var watch, read uint64
-	var reply step.Reply
-	var handle func(ev step.Event)
-	handle = func(ev step.Event) {
+	var reply eventloop.Reply
+	var handle func(ev eventloop.Event)
+	handle = func(ev eventloop.Event) {
 		for _, e := range c.Step(now, ev) {
 			switch e := e.(type) {
-			case step.Reply:
+			case eventloop.Reply:
 				reply = e
-			case step.StateWatch:
+			case eventloop.StateWatch:
 				watch = e.ID
-			case step.StateTxn:
+			case eventloop.StateTxn:
 				if e.Txn.Then[0].Put == jobPrefix+id {
-					handle(step.Completed{ID: e.ID, State: true, Status: 409, Txn: wire.TxnAnswer{Failed: []string{jobPrefix + id}, Revision: 8}})
+					handle(eventloop.Completion{ID: e.ID, FromStateService: true, Status: 409, Txn: wire.TxnAnswer{Failed: []string{jobPrefix + id}, Revision: 8}})
 				}
-			case step.StateGet:
+			case eventloop.StateGet:
 				if e.Key == jobPrefix+id {
 					read = e.ID
 				} else if e.Key == endPrefix+id {
-					handle(step.Completed{ID: e.ID, State: true, Status: 404})
+					handle(eventloop.Completion{ID: e.ID, FromStateService: true, Status: 404})
 				}
 			}
 		}
 	}
 	job := wire.Job{ID: id, Team: "free", Shape: wire.Array, Priority: "standard", Tasks: 2, CPUs: 1}
-	handle(step.Tick{})
-	handle(step.SubmitIn{Req: 1, Job: job})
+	handle(eventloop.Tick{})
+	handle(eventloop.SubmitRequest{Req: 1, Job: job})
 	if watch == 0 || read == 0 {
 		t.Fatalf("no watch is open, or no record read: %d, %d", watch, read)
 	}
-	handle(step.Completed{ID: watch, State: true, Status: 200, Watch: wire.Changes{Revision: 9,
+	handle(eventloop.Completion{ID: watch, FromStateService: true, Status: 200, Changes: wire.Changes{Revision: 9,
 		Log: []wire.Change{{Delete: jobPrefix + id, Version: 9}, {Put: endPrefix + id, Value: raw(wire.EndRecord{State: wire.Cancelled, Tasks: 2}), Version: 9}}}})
-	handle(step.Completed{ID: read, State: true, Status: 200, Pair: wire.Pair{Key: jobPrefix + id, Value: raw(wire.JobRecord{Job: job}), Version: 8}})
+	handle(eventloop.Completion{ID: read, FromStateService: true, Status: 200, Pair: wire.Pair{Key: jobPrefix + id, Value: raw(wire.JobRecord{Job: job}), Version: 8}})
 	if a, _ := reply.Body.(wire.JobAnswer); reply.Status != 200 || a.State != wire.Cancelled {
 		t.Errorf("answered %d %+v after its end was known", reply.Status, reply.Body)
 	}
@@ -101,33 +101,33 @@
 		t.Fatal(err)
 	}
 	var watch, read uint64
-	var handle func(ev step.Event)
-	handle = func(ev step.Event) {
+	var handle func(ev eventloop.Event)
+	handle = func(ev eventloop.Event) {
 		for _, e := range c.Step(now, ev) {
 			switch e := e.(type) {
-			case step.StateWatch:
+			case eventloop.StateWatch:
 				watch = e.ID
-			case step.StateTxn:
+			case eventloop.StateTxn:
 				if e.Txn.Then[0].Put == jobPrefix+id {
-					handle(step.Completed{ID: e.ID, State: true}) // no answer
+					handle(eventloop.Completion{ID: e.ID, FromStateService: true}) // no answer
 				}
-			case step.StateGet:
+			case eventloop.StateGet:
 				if e.Key == jobPrefix+id {
 					read = e.ID
 				} else if e.Key == endPrefix+id {
-					handle(step.Completed{ID: e.ID, State: true, Status: 404, Page: wire.Page{Revision: 8}})
+					handle(eventloop.Completion{ID: e.ID, FromStateService: true, Status: 404, Page: wire.Page{Revision: 8}})
 				}
 			}
 		}
 	}
-	handle(step.Tick{})
-	handle(step.SubmitIn{Req: 1, Job: job})
+	handle(eventloop.Tick{})
+	handle(eventloop.SubmitRequest{Req: 1, Job: job})
 	if watch == 0 || read == 0 {
 		t.Fatalf("no watch is open, or no record read: %d, %d", watch, read)
 	}
-	handle(step.Completed{ID: watch, State: true, Status: 200, Watch: wire.Changes{Revision: 9,
+	handle(eventloop.Completion{ID: watch, FromStateService: true, Status: 200, Changes: wire.Changes{Revision: 9,
 		Log: []wire.Change{{Put: jobPrefix + id, Value: record, Version: 9}}}})
-	handle(step.Completed{ID: read, State: true, Status: 404, Page: wire.Page{Revision: 8}})
+	handle(eventloop.Completion{ID: read, FromStateService: true, Status: 404, Page: wire.Page{Revision: 8}})
 	if c.recovery != nil {
 		t.Error("takes the state for one that has lost data")
 	}
--- a/internal/core/controller/bench_test.go
+++ b/internal/core/controller/bench_test.go
@@ -10,8 +10,8 @@
 
 	"fawncove/internal/config"
 	"fawncove/internal/core/cluster"
+	"fawncove/internal/core/eventloop"
 	"fawncove/internal/core/owner"
-	"fawncove/internal/core/step"
 	"fawncove/internal/peerpb"
 	"fawncove/internal/wire"
 )
@@ -36,8 +36,8 @@
 	now := time.Date(2026, 3, 1, 6, 0, 0, 0, time.UTC)
 	c.loop.Begin(now)
 	c.stateOK, c.writeSent, c.loaded = now, now, true
-	c.own.Known(5, now)
-	c.view.Types["b8"] = wire.MachineType{Name: "b8", CPUs: 8, MemoryGB: 32, CacheGB: 20, FetchGBPS: 1, Price: 1, SpotPrice: 0.3, BootS: 30, Zones: []string{"x", "y"}}
+	c.own.ChangesKnown(5, now)
+	c.view.MachineTypes["b8"] = wire.MachineType{Name: "b8", CPUs: 8, MemoryGB: 32, CacheGB: 20, FetchGBPS: 1, Price: 1, SpotPrice: 0.3, BootS: 30, Zones: []string{"x", "y"}}
 	rec := wire.LeaseRecord{Form: 2, Term: 3, Leader: "n0", Incarnation: 7, Partitions: map[string]string{"red": "n0"},
 		Blocks: map[string]wire.Block{}, Shares: map[string]wire.Shares{"red": {}}}
 	for i := range 5 {
@@ -57,12 +57,12 @@
 	part.Blocks = map[string]wire.Block{}
 	for done := false; !done; {
 		done = true
-		budget := c.book.Budget(c.view.Cfg.ValueLimits())
+		budget := c.book.WriteBudget(c.view.Settings.ValueLimits())
 		for _, node := range cluster.SortedKeys(rec.Blocks) {
 			blk := rec.Blocks[node]
 			have := len(part.Blocks[node].Machines)
 			all := blk.Machines
-			for have < len(all) && budget.Join(node) {
+			for have < len(all) && budget.AddMachine(node) {
 				have++
 			}
 			done = done && have == len(all)
@@ -70,11 +70,11 @@
 			part.Blocks[node] = blk
 		}
 		part.Sequence++
-		d, err := c.book.Write(&part, c.view.Cfg.ValueLimits())
+		d, err := c.book.Write(&part, c.view.Settings.ValueLimits())
 		if err != nil {
 			b.Fatal(err)
 		}
-		d.Stored()
+		d.Commit()
 	}
 	rec.Sequence = part.Sequence
 	c.applyLease(rec, 5)
@@ -90,10 +90,10 @@
 		}
 	}
 	listed := false
-	c.lead.Run()
+	c.lead.RunAutoscaler()
 	for _, e := range c.loop.Effects() {
-		if e, ok := e.(step.CloudList); ok && !listed {
-			listed = c.loop.Complete(step.Completed{ID: e.ID, Status: 200, List: list})
+		if e, ok := e.(eventloop.CloudList); ok && !listed {
+			listed = c.loop.Complete(eventloop.Completion{ID: e.ID, Status: 200, Machines: list})
 		}
 	}
 	if !listed {
@@ -102,9 +102,9 @@
 	for i, name := range c.view.Lease.Blocks["n0"].Machines {
 		if i%25 == 0 {
 			c.applyJob(wire.JobRecord{Job: wire.Job{ID: fmt.Sprintf("wk-%06d", i), Class: "c", Team: "red", Shape: wire.Array, Priority: "standard",
-				Tasks: 150, CPUs: 4, MemoryGB: 4, Spot: true, EstimateS: 60, Image: "img", ImageGB: 1}, Shard: wire.ShardName("red", 1)}, owner.Stamp{Version: uint64(10 + i)})
+				Tasks: 150, CPUs: 4, MemoryGB: 4, Spot: true, EstimateS: 60, Image: "img", ImageGB: 1}, Shard: wire.ShardName("red", 1)}, owner.RecordInfo{Version: uint64(10 + i)})
 		}
-		c.own.Report(step.ReportIn{Req: uint64(i), Report: wire.Heartbeat{Machine: name, Endpoint: "10.0.0.1:9000", Type: "b8", Zone: "x", Spot: true, AgentEpoch: 1, Sequence: 1}})
+		c.own.HandleHeartbeat(eventloop.HeartbeatRequest{Req: uint64(i), Heartbeat: wire.Heartbeat{Machine: name, Endpoint: "10.0.0.1:9000", Type: "b8", Zone: "x", Spot: true, AgentEpoch: 1, Sequence: 1}})
 	}
 	c.leaseBusy = true
 	return c, now
@@ -128,7 +128,7 @@
 		for i := 0; b.Loop(); i += 17 {
 			c.leaseBusy = false
 			c.loop.Begin(c.loop.Now)
-			c.lead.Gone(fmt.Sprintf("host-%06d", i%n))
+			c.lead.MachineDeleted(fmt.Sprintf("host-%06d", i%n))
 			c.publish()
 		}
 	})
--- a/internal/core/controller/clear.go
+++ b/internal/core/controller/clear.go
@@ -26,15 +26,15 @@
 // askAll notes that a frame which asks is sent, and writes the ask and the answers to
 // others into it.
 func (c *Core) askAll(f *peerpb.Frame) {
-	if !c.view.Par.Levels.Gated() || !c.loaded || c.recovery != nil {
+	if !c.view.Params.Levels.KnowsLevels() || !c.loaded || c.recovery != nil {
 		return
 	}
 	c.asks++
 	c.askedAt[c.asks%asksKept] = c.loop.Now
 	f.FreshnessRequest, f.CancelledRevision = c.asks, c.cancelled
 	for _, name := range cluster.SortedKeys(c.view.Peers) {
-		if p := c.view.Peers[name]; p.Asked > 0 {
-			f.FreshnessReplies = append(f.FreshnessReplies, &peerpb.FreshnessReply{To: name, Process: p.Process, Request: p.Asked})
+		if p := c.view.Peers[name]; p.FreshnessRequest > 0 {
+			f.FreshnessReplies = append(f.FreshnessReplies, &peerpb.FreshnessReply{To: name, Process: p.Incarnation, Request: p.FreshnessRequest})
 		}
 	}
 }
@@ -42,28 +42,28 @@
 // answered takes in what a frame says of cancellations.
 func (c *Core) answered(p *cluster.Peer, f *peerpb.Frame) {
 	if f.GetFreshnessRequest() > 0 {
-		p.Asked = f.GetFreshnessRequest()
+		p.FreshnessRequest = f.GetFreshnessRequest()
 	}
 	if !c.loaded || c.recovery != nil || f.GetStateLost() || f.GetGeneration() != c.generation() ||
 		f.GetCancelledRevision() == 0 || f.GetCancelledRevision() > c.rev {
 		return
 	}
 	for _, e := range f.GetFreshnessReplies() {
-		if e.GetTo() != c.view.Me || e.GetProcess() != c.hold.Incarnation() || e.GetRequest() > c.asks || e.GetRequest()+asksKept <= c.asks {
+		if e.GetTo() != c.view.Self || e.GetProcess() != c.hold.Incarnation() || e.GetRequest() > c.asks || e.GetRequest()+asksKept <= c.asks {
 			continue
 		}
-		if at := c.askedAt[e.GetRequest()%asksKept]; at.After(p.Clear) {
-			p.Clear = at
+		if at := c.askedAt[e.GetRequest()%asksKept]; at.After(p.CancellationsKnownUntil) {
+			p.CancellationsKnownUntil = at
 		}
 	}
 	var least time.Time
 	for _, p := range c.view.Peers {
-		if p.Clear.IsZero() {
+		if p.CancellationsKnownUntil.IsZero() {
 			return
 		}
-		if least.IsZero() || p.Clear.Before(least) {
-			least = p.Clear
+		if least.IsZero() || p.CancellationsKnownUntil.Before(least) {
+			least = p.CancellationsKnownUntil
 		}
 	}
-	c.own.Clear(least)
+	c.own.CancellationsKnown(least)
 }
--- a/internal/core/controller/controller.go
+++ b/internal/core/controller/controller.go
@@ -9,14 +9,14 @@
 	"time"
 
 	"fawncove/internal/config"
+	"fawncove/internal/core/blocklease"
 	"fawncove/internal/core/cluster"
-	"fawncove/internal/core/gate"
-	"fawncove/internal/core/grant"
+	"fawncove/internal/core/eventloop"
+	"fawncove/internal/core/feature"
 	"fawncove/internal/core/leader"
 	"fawncove/internal/core/leasevalue"
 	"fawncove/internal/core/owner"
-	"fawncove/internal/core/rebuild"
-	"fawncove/internal/core/step"
+	"fawncove/internal/core/recovery"
 	"fawncove/internal/peerpb"
 	"fawncove/internal/wire"
 )
@@ -24,10 +24,10 @@
 // Core is the state of one controller.
 type Core struct {
 	view *cluster.View
-	hold *grant.Holder
+	hold *blocklease.Holder
 	log  *slog.Logger
 
-	loop step.Loop
+	loop eventloop.Loop
 
 	own  *owner.Owner
 	lead *leader.Leader // nil while another controller leads
@@ -54,8 +54,8 @@
 	valueSeen    time.Time // when the value in view was first seen
 	baseSeen     time.Time // and the one before it
 	leaseBusy    bool
-	book         leasevalue.Book // the pages beside the lease value
-	unread       *wire.Pair      // a lease value whose pages are not all known
+	book         leasevalue.PageTable // the pages beside the lease value
+	unread       *wire.Pair           // a lease value whose pages are not all known
 	unreadSince  time.Time
 	leaseReading bool
 	renewAt      time.Time
@@ -67,10 +67,10 @@
 	level        level
 
 	// The state's generation, and what happens when it has lost data.
-	gen      cluster.Stored[rebuild.Generation]
+	gen      cluster.Stored[recovery.Generation]
 	high     uint64 // highest revision that an answer has shown
-	recovery *recovery
-	kept     rebuild.Memory // of before a rebuild, until everything is read again
+	recovery *recoveryRun
+	kept     recovery.KnownState // of before a rebuild, until everything is read again
 	waking   waking
 
 	// What was last told to the peers.
@@ -82,8 +82,8 @@
 	cancelled uint64    // no cancellation beyond this revision has been told from here
 	asks      uint64    // see clear.go
 	askedAt   [asksKept]time.Time
-	spare     float64      // processors free here beyond what waits
-	room      cluster.Room // free here
+	spare     float64          // processors free here beyond what waits
+	room      cluster.Capacity // free here
 }
 
 // New returns the core of the controller described by cfg. incarnation must
@@ -96,37 +96,37 @@
 
 // begin makes the core that of a process that knows nothing yet.
 func (c *Core) begin(view *cluster.View, log *slog.Logger, incarnation uint64) {
-	c.view, c.log, c.hold, c.ended = view, log, grant.New(incarnation, view.Par.Lease), map[string]wire.EndRecord{}
-	c.book.Before = !view.Par.Levels.Gated()
+	c.view, c.log, c.hold, c.ended = view, log, blocklease.New(incarnation, view.Params.LeaseDuration), map[string]wire.EndRecord{}
+	c.book.PreLevels = !view.Params.Levels.KnowsLevels()
 	c.own = owner.New(&c.loop, c.view, c.hold, c, log)
 }
 
 // Step handles one event and returns what is to be done.
-func (c *Core) Step(now time.Time, ev step.Event) []step.Effect {
+func (c *Core) Step(now time.Time, ev eventloop.Event) []eventloop.Effect {
 	c.loop.Begin(now)
 	if gap := now.Sub(c.steppedAt); gap > stoodStill && !c.steppedAt.IsZero() {
 		c.log.Info("stood still", "for", gap.Round(time.Millisecond))
-		c.own.Woke(gap)
+		c.own.ResumedAfter(gap)
 		c.wokeAt = now
 	}
 	c.steppedAt = now
 	switch e := ev.(type) {
-	case step.Tick:
+	case eventloop.Tick:
 		c.tick()
-	case step.Leave:
+	case eventloop.Shutdown:
 		c.leave()
-	case step.ReportIn:
-		c.own.Report(e)
-	case step.SubmitIn:
+	case eventloop.HeartbeatRequest:
+		c.own.HandleHeartbeat(e)
+	case eventloop.SubmitRequest:
 		c.onSubmit(e)
-	case step.PollIn:
+	case eventloop.QueryRequest:
 		c.onPoll(e)
-	case step.CancelIn:
+	case eventloop.CancelRequest:
 		c.onCancel(e)
-	case step.PeerIn:
+	case eventloop.PeerFrame:
 		c.onPeer(e.Frame)
-	case step.Completed:
-		if e.State && (e.Status == 200 || e.Status == 404 || e.Status == 409) {
+	case eventloop.Completion:
+		if e.FromStateService && (e.Status == 200 || e.Status == 404 || e.Status == 409) {
 			if !c.reachable() && !c.stateOK.IsZero() {
 				c.wokeAt = now // what it has missed meanwhile may be a loss
 			}
@@ -134,20 +134,20 @@
 		}
 		c.witness(&e)
 		c.loop.Complete(e)
-		if c.lead != nil && c.lead.Again() {
+		if c.lead != nil && c.lead.PublishNow() {
 			c.leadTick()
 		}
 	default:
 		c.log.Error("unknown event", "type", fmt.Sprintf("%T", ev))
 	}
-	c.own.Work()
+	c.own.PlaceAndSend()
 	return c.loop.Effects()
 }
 
 // Healthy tells whether users can be served here: everything is read, and
 // where the state service is out of reach, nobody else does better.
 func (c *Core) Healthy() bool {
-	if c.leaving || !c.serves() || len(c.view.Types) == 0 || c.view.Version == 0 {
+	if c.leaving || !c.serves() || len(c.view.MachineTypes) == 0 || c.view.LeaseVersion == 0 {
 		return false
 	}
 	if c.reachable() {
@@ -157,8 +157,8 @@
 	// served here, while elsewhere somebody may be.
 	heard := len(c.view.Peers) == 0
 	for name, p := range c.view.Peers {
-		up := c.view.LinkUp(name, c.loop.Now)
-		if up && p.StateOK {
+		up := c.view.IsReachable(name, c.loop.Now)
+		if up && p.StateReachable {
 			return false
 		}
 		heard = heard || up
@@ -167,20 +167,20 @@
 }
 
 // Levels is what the lease value, as last read, says of levels.
-func (c *Core) Levels() gate.State { return c.view.Levels() }
+func (c *Core) Levels() feature.State { return c.view.Levels() }
 
 // LeaseForm is the form of the lease value as this controller last read it.
 func (c *Core) LeaseForm() int { return c.view.Lease.Form }
 
 // Parted tells how many teams' limits are held in shares.
-func (c *Core) Parted() int { return len(c.view.Lease.Shares) }
+func (c *Core) ShardedTeams() int { return len(c.view.Lease.Shares) }
 
 // Homes names the controller of every home, as the lease value last read does.
 // The map is not to be changed.
-func (c *Core) Homes() map[string]string { return c.view.Lease.Partitions }
+func (c *Core) Partitions() map[string]string { return c.view.Lease.Partitions }
 
 // Holds tells how many machines are in this controller's block.
-func (c *Core) Holds() int { return c.own.Holds() }
+func (c *Core) MachineCount() int { return c.own.MachineCount() }
 
 // tick does what time alone brings about.
 func (c *Core) tick() {
@@ -204,10 +204,10 @@
 	c.renew()
 	c.ping()
 	c.tellLevel()
-	c.own.Store()
+	c.own.StorePending()
 	c.runVerify()
-	c.own.Check()
-	c.own.LogServed()
+	c.own.CheckMachines()
+	c.own.LogServiceReport()
 	c.leadTick()
 }
 
@@ -219,7 +219,7 @@
 // the leader's prices now and then.
 func (c *Core) loadTypes() {
 	every := 30 * time.Second
-	if len(c.view.Types) == 0 {
+	if len(c.view.MachineTypes) == 0 {
 		every = time.Second
 	} else if c.lead == nil {
 		return
@@ -228,14 +228,14 @@
 		return
 	}
 	c.typesBusy, c.typesAt = true, c.loop.Now
-	c.loop.Emit(step.CloudTypes{ID: c.loop.Call(func(d step.Completed) {
+	c.loop.Emit(eventloop.CloudTypes{ID: c.loop.Call(func(d eventloop.Completion) {
 		c.typesBusy = false
 		if d.Status != 200 {
 			return
 		}
 		for _, t := range d.Types.Types {
 			if t.Name != "" && t.CPUs > 0 {
-				c.view.Types[t.Name] = t
+				c.view.MachineTypes[t.Name] = t
 			}
 		}
 	})})
@@ -248,30 +248,30 @@
 	}
 	c.pingAt = c.loop.Now.Add(time.Second)
 	f := c.frame()
-	busy, _, size := c.own.Measure()
+	busy, _, size := c.own.ProcessorUse()
 	c.spare = size - busy
 	f.SpareCpus = c.spare
-	f.Teams = c.own.TeamUses()
-	c.room = c.own.Room()
+	f.Teams = c.own.PublishedTeamUse()
+	c.room = c.own.Capacity()
 	c.room.Size = size
 	f.FreeCpus, f.ImageCpus, f.SizeCpus = c.room.Free, c.room.Images, size
-	f.FreeSlots = c.own.Slots()
-	f.Progress = c.own.News()
-	f.NoHeartbeats = c.own.Unreported()
-	f.ForeignWorkers = c.own.GuestsOf()
+	f.FreeSlots = c.own.FreeSlots()
+	f.Progress = c.own.ChangedCounts()
+	f.NoHeartbeats = c.own.NoHeartbeats()
+	f.ForeignWorkers = c.own.ForeignWorkersByHolder()
 	c.askAll(f)
 	for _, name := range cluster.SortedKeys(c.view.Peers) {
-		c.loop.Emit(step.PeerSend{To: name, Frame: f})
+		c.loop.Emit(eventloop.PeerSend{To: name, Frame: f})
 	}
 }
 
 // frame is the beginning of every message to another controller.
 func (c *Core) frame() *peerpb.Frame {
-	f := &peerpb.Frame{From: c.view.Me, Incarnation: c.hold.Incarnation(), StateOk: c.reachable(),
+	f := &peerpb.Frame{From: c.view.Self, Incarnation: c.hold.Incarnation(), StateOk: c.reachable(),
 		LeaseForm: leasevalue.FormPages}
 	c.tellGeneration(f)
-	if c.view.Par.Levels.Gated() {
-		f.Form, f.NewestLevel, f.SeenLevel = frameForm, uint32(c.view.Par.Levels.Newest), c.view.Lease.Level
+	if c.view.Params.Levels.KnowsLevels() {
+		f.Form, f.NewestLevel, f.SeenLevel = frameForm, uint32(c.view.Params.Levels.Newest), c.view.Lease.Level
 		f.AcceptsRaisedTokens, f.AcceptsJobMoves = true, true
 	}
 	return f
@@ -287,42 +287,42 @@
 		c.log.Warn("frame from an unknown peer", "from", f.GetFrom())
 		return
 	}
-	if c.view.Par.Levels.Gated() && (f.GetForm() > frameForm || f.GetRenewal().GetForm() > renewalForm) {
+	if c.view.Params.Levels.KnowsLevels() && (f.GetForm() > frameForm || f.GetRenewal().GetForm() > renewalForm) {
 		c.log.Warn("frame in a form that is unknown to this version", "from", f.GetFrom(), "form", f.GetForm(), "renewal", f.GetRenewal().GetForm())
 		return
 	}
 	if f.GetHello() {
-		c.loop.Emit(step.PeerSend{To: f.GetFrom(), Frame: c.frame()})
+		c.loop.Emit(eventloop.PeerSend{To: f.GetFrom(), Frame: c.frame()})
 		return
 	}
-	if f.GetIncarnation() != p.Process || c.loop.Now.Sub(p.Heard) > missedNews {
-		c.own.TellAnew()
+	if f.GetIncarnation() != p.Incarnation || c.loop.Now.Sub(p.LastFrame) > missedNews {
+		c.own.ResendCounts()
 	}
-	p.Process, p.Seen = f.GetIncarnation(), gate.Level(f.GetSeenLevel())
-	p.Generation, p.Lost, p.Restored, p.Revision = f.GetGeneration(), f.GetStateLost(), f.GetStateRestored(), f.GetRevision()
-	if f.GetStateOk() && (!p.StateOK || c.loop.Now.Sub(p.Heard) > cluster.LinkDead) {
-		p.OKSince = c.loop.Now
+	p.Incarnation, p.SeenLevel = f.GetIncarnation(), feature.Level(f.GetSeenLevel())
+	p.Generation, p.StateLost, p.StateRestored, p.Revision = f.GetGeneration(), f.GetStateLost(), f.GetStateRestored(), f.GetRevision()
+	if f.GetStateOk() && (!p.StateReachable || c.loop.Now.Sub(p.LastFrame) > cluster.PeerTimeout) {
+		p.StateReachableSince = c.loop.Now
 	}
-	p.Heard, p.StateOK, p.Form, p.FollowsRaised = c.loop.Now, f.GetStateOk(), f.GetLeaseForm(), f.GetAcceptsRaisedTokens()
+	p.LastFrame, p.StateReachable, p.LeaseForm, p.AcceptsRaisedTokens = c.loop.Now, f.GetStateOk(), f.GetLeaseForm(), f.GetAcceptsRaisedTokens()
 	if f.GetRenewal() == nil {
-		p.Spare = f.GetSpareCpus()
+		p.SpareCPUs = f.GetSpareCpus()
 	}
 	if f.GetImageCpus() != nil {
-		p.Room = cluster.Room{Free: f.GetFreeCpus(), Size: f.GetSizeCpus(), Images: f.GetImageCpus()}
+		p.Capacity = cluster.Capacity{Free: f.GetFreeCpus(), Size: f.GetSizeCpus(), Images: f.GetImageCpus()}
 	}
-	p.FollowsMoves = f.GetAcceptsJobMoves()
+	p.AcceptsJobMoves = f.GetAcceptsJobMoves()
 	if f.GetRenewal() == nil {
-		p.TellSlots(f.GetFreeSlots())
-		p.NoReports, p.Guests = f.GetNoHeartbeats(), int(f.GetForeignWorkers()[c.view.Me])
+		p.UpdateFreeSlots(f.GetFreeSlots())
+		p.NoHeartbeats, p.ForeignWorkers = f.GetNoHeartbeats(), int(f.GetForeignWorkers()[c.view.Self])
 	}
-	p.Tell(f.GetTeams())
+	p.UpdateTeamUse(f.GetTeams())
 	c.answered(p, f)
 	for _, g := range f.GetProgress() {
 		if j := c.own.Job(g.GetId()); j != nil {
-			j.Hear(int(g.GetDone()), int(g.GetRunning()))
+			j.ApplyReportedCounts(int(g.GetDone()), int(g.GetRunning()))
 		}
 	}
-	c.own.Meet(f.GetKnownMachines())
+	c.own.LearnMachines(f.GetKnownMachines())
 	if r := f.GetRenewal(); r != nil && r.GetNode() == f.GetFrom() {
 		c.onRenewal(r)
 	}
--- a/internal/core/controller/controller_test.go
+++ b/internal/core/controller/controller_test.go
@@ -10,7 +10,7 @@
 
 	"fawncove/internal/config"
 	"fawncove/internal/core/cluster"
-	"fawncove/internal/core/step"
+	"fawncove/internal/core/eventloop"
 	"fawncove/internal/peerpb"
 	"fawncove/internal/wire"
 )
@@ -28,9 +28,9 @@
 	now := time.Date(2026, 3, 1, 6, 0, 0, 0, time.UTC)
 	c.loop.Begin(now)
 	c.loaded = true
-	c.own.Known(5, now)
+	c.own.ChangesKnown(5, now)
 	c.stateOK = now
-	c.view.Types["s4"] = wire.MachineType{Name: "s4", CPUs: 4, MemoryGB: 16, CacheGB: 20, FetchGBPS: 1, Price: 1, SpotPrice: 0.3, BootS: 6, Zones: []string{"x", "y"}}
+	c.view.MachineTypes["s4"] = wire.MachineType{Name: "s4", CPUs: 4, MemoryGB: 16, CacheGB: 20, FetchGBPS: 1, Price: 1, SpotPrice: 0.3, BootS: 6, Zones: []string{"x", "y"}}
 	c.applyLease(rec, 5)
 	return c, now
 }
@@ -43,7 +43,7 @@
 		Blocks: map[string]wire.Block{"n0": {Grant: 1 << 18, Incarnation: 7}}, Partitions: map[string]string{"free": "n0"}})
 	c.stateOK = start
 	for ms := 500; ms <= 16000; ms += 500 {
-		c.Step(start.Add(time.Duration(ms)*time.Millisecond), step.PeerIn{Frame: &peerpb.Frame{From: "n1", StateOk: ms < 4000 || ms > 10000}})
+		c.Step(start.Add(time.Duration(ms)*time.Millisecond), eventloop.PeerFrame{Frame: &peerpb.Frame{From: "n1", StateOk: ms < 4000 || ms > 10000}})
 		if got, want := c.refusedAlone(), ms > 10000+int(refusedProof.Milliseconds())+500; got != want {
 			t.Errorf("refused alone at %d ms: %v, want %v", ms, got, want)
 		}
@@ -62,22 +62,22 @@
 		return &wire.Job{ID: "wk-000001", Team: "free", Shape: wire.Array, Priority: priority, Tasks: 10, CPUs: 2, Image: image}
 	}
 	p := core.view.Peers["n1"]
-	p.Heard = core.loop.Now
+	p.LastFrame = core.loop.Now
 	for _, c := range []struct {
 		name            string
-		own, other      cluster.Room
+		own, other      cluster.Capacity
 		ownSpare, spare float64
 		priority, image string
 		want            string
 	}{
-		{"the larger block has a little more to spare", cluster.Room{Size: 300}, cluster.Room{Size: 900}, 80, 120, "standard", "a", "free #1"},
-		{"the smaller one is full", cluster.Room{Size: 300}, cluster.Room{Size: 900}, -400, 500, "standard", "a", "free #2"},
-		{"urgent, both have room", cluster.Room{Free: 50, Size: 300}, cluster.Room{Free: 150, Size: 900}, 50, 150, "urgent", "a", "free #1"},
-		{"urgent, only the larger one has room", cluster.Room{Size: 300}, cluster.Room{Free: 150, Size: 900}, -10, 150, "urgent", "a", "free #2"},
-		{"urgent, even blocks, one has the image", cluster.Room{Free: 50, Size: 300},
-			cluster.Room{Free: 50, Size: 300, Images: map[string]float64{"a": 40}}, 50, 50, "urgent", "a", "free #2"},
+		{"the larger block has a little more to spare", cluster.Capacity{Size: 300}, cluster.Capacity{Size: 900}, 80, 120, "standard", "a", "free #1"},
+		{"the smaller one is full", cluster.Capacity{Size: 300}, cluster.Capacity{Size: 900}, -400, 500, "standard", "a", "free #2"},
+		{"urgent, both have room", cluster.Capacity{Free: 50, Size: 300}, cluster.Capacity{Free: 150, Size: 900}, 50, 150, "urgent", "a", "free #1"},
+		{"urgent, only the larger one has room", cluster.Capacity{Size: 300}, cluster.Capacity{Free: 150, Size: 900}, -10, 150, "urgent", "a", "free #2"},
+		{"urgent, even blocks, one has the image", cluster.Capacity{Free: 50, Size: 300},
+			cluster.Capacity{Free: 50, Size: 300, Images: map[string]float64{"a": 40}}, 50, 50, "urgent", "a", "free #2"},
 	} {
-		core.room, core.spare, p.Room, p.Spare = c.own, c.ownSpare, c.other, c.spare
+		core.room, core.spare, p.Capacity, p.SpareCPUs = c.own, c.ownSpare, c.other, c.spare
 		if got := core.fileUnder(job(c.priority, c.image)); got != c.want {
 			t.Errorf("%s: filed under %s, want %s", c.name, got, c.want)
 		}
@@ -101,13 +101,13 @@
 		t.Fatalf("%d effects, busy %v after a write that does not fit", len(c.loop.Effects()), c.leaseBusy)
 	}
 	for i := 7; i < 10000; i += 10 {
-		c.lead.Gone(fmt.Sprintf("host-%06d", i))
+		c.lead.MachineDeleted(fmt.Sprintf("host-%06d", i))
 	}
 	for i, most := range []int{1, 12} { // first the value alone, then as much as fits
 		changes := 0
 		c.leaseBusy = false
-		for _, e := range c.Step(now.Add(time.Duration(1+i)*6*time.Second), step.Tick{}) {
-			if txn, ok := e.(step.StateTxn); ok && txn.Control {
+		for _, e := range c.Step(now.Add(time.Duration(1+i)*6*time.Second), eventloop.Tick{}) {
+			if txn, ok := e.(eventloop.StateTxn); ok && txn.LeaseBudget {
 				changes = len(txn.Txn.Then)
 			}
 		}
@@ -135,11 +135,11 @@
 	for _, awake := range []bool{false, true} {
 		c, now := newCore(t, []config.Team{{Name: "free"}}, wire.LeaseRecord{Term: 3, Leader: "n1",
 			Blocks: map[string]wire.Block{"n0": {Grant: 1 << 18, Incarnation: 7, Machines: wire.NameSet{"host-000001"}}}})
-		c.Step(now, step.Tick{})
+		c.Step(now, eventloop.Tick{})
 		for ms := 150; awake && ms < 20000; ms += 150 {
-			c.Step(now.Add(time.Duration(ms)*time.Millisecond), step.Tick{})
+			c.Step(now.Add(time.Duration(ms)*time.Millisecond), eventloop.Tick{})
 		}
-		c.Step(now.Add(20*time.Second), step.Tick{})
+		c.Step(now.Add(20*time.Second), eventloop.Tick{})
 		if lost := c.Renewal().GetSilentMachines() != ""; lost != awake {
 			t.Errorf("awake: %v, its machine is lost: %v", awake, lost)
 		}
@@ -151,21 +151,21 @@
 func TestWhatUsersAreRefused(t *testing.T) {
 	teams := []config.Team{{Name: "free"}, {Name: "red", CPUsMax: 8}}
 	fits := wire.Job{ID: "wk-000001", Team: "free", Shape: wire.Array, Priority: "standard", Tasks: 9, CPUs: 2}
-	with := func(change func(j *wire.Job)) step.SubmitIn {
+	with := func(change func(j *wire.Job)) eventloop.SubmitRequest {
 		j := fits
 		change(&j)
-		return step.SubmitIn{Req: 1, Job: j}
+		return eventloop.SubmitRequest{Req: 1, Job: j}
 	}
 	for name, c := range map[string]struct {
-		ev   step.Event
+		ev   eventloop.Event
 		want int
 	}{
-		"malformed":             {step.SubmitIn{Req: 1, Job: wire.Job{ID: fits.ID}, Err: io.ErrUnexpectedEOF}, 400},
+		"malformed":             {eventloop.SubmitRequest{Req: 1, Job: wire.Job{ID: fits.ID}, Err: io.ErrUnexpectedEOF}, 400},
 		"unknown team":          {with(func(j *wire.Job) { j.Team = "nobody" }), 422},
 		"fits no machine":       {with(func(j *wire.Job) { j.CPUs = 5 }), 422},
 		"wrong zone":            {with(func(j *wire.Job) { j.Zone = "z" }), 422},
 		"service over a limit":  {with(func(j *wire.Job) { j.Team, j.Shape = "red", wire.Daemon }), 422},
-		"poll for nobody's job": {step.PollIn{Req: 1, ID: fits.ID}, 404},
+		"poll for nobody's job": {eventloop.QueryRequest{Req: 1, ID: fits.ID}, 404},
 	} {
 		for what, want := range map[string]int{"says so": c.want, "does not answer": 503, "says so to one that just woke": 503} {
 			status := 200
@@ -178,15 +178,15 @@
 			}
 			got := 0
 			// Without an answer it is asked again until its user waits no longer.
-			for events, end := []step.Event{c.ev}, now.Add(4*time.Second); got == 0 && now.Before(end); now = now.Add(150 * time.Millisecond) {
-				for events = append(events, step.Tick{}); len(events) > 0; events = events[1:] {
+			for events, end := []eventloop.Event{c.ev}, now.Add(4*time.Second); got == 0 && now.Before(end); now = now.Add(150 * time.Millisecond) {
+				for events = append(events, eventloop.Tick{}); len(events) > 0; events = events[1:] {
 					for _, e := range core.Step(now, events[0]) {
 						switch e := e.(type) {
-						case step.StateTxn:
+						case eventloop.StateTxn:
 							if len(e.Txn.Then) == 0 {
-								events = append(events, step.Completed{ID: e.ID, State: true, Status: status})
+								events = append(events, eventloop.Completion{ID: e.ID, FromStateService: true, Status: status})
 							}
-						case step.Reply:
+						case eventloop.Reply:
 							got = e.Status
 						}
 					}
--- a/internal/core/controller/homes.go
+++ b/internal/core/controller/homes.go
@@ -31,22 +31,22 @@
 // beyond the mean. It returns "" when the team has one home.
 func (c *Core) fileUnder(j *wire.Job) string {
 	best, bestWorth, bestSpare := "", 0.0, 0.0
-	own := cluster.Parts(c.view.Lease.Partitions, j.Team)
+	own := cluster.Shards(c.view.Lease.Partitions, j.Team)
 	mean := c.meanSize(own)
 	for _, part := range own {
 		node := c.view.Lease.Partitions[part]
 		spare, r := c.spare, &c.room
-		if node != c.view.Me {
-			if !c.view.LinkUp(node, c.loop.Now) {
+		if node != c.view.Self {
+			if !c.view.IsReachable(node, c.loop.Now) {
 				continue
 			}
-			spare, r = c.view.Peers[node].Spare, &c.view.Peers[node].Room
+			spare, r = c.view.Peers[node].SpareCPUs, &c.view.Peers[node].Capacity
 		}
 		more := r.Size - mean
 		spare -= evenSpare * more
 		worth := 0.0
 		if j.Rank() <= 1 {
-			worth = r.Worth(j) - evenWorth*more/max(1, mean)
+			worth = r.RateFor(j) - evenWorth*more/max(1, mean)
 		}
 		if best == "" || worth > bestWorth+0.05 || (worth > bestWorth-0.05 && spare > bestSpare) {
 			best, bestWorth, bestSpare = part, worth, spare
@@ -54,12 +54,12 @@
 	}
 	// Until the controller tells its new figures the job counts against them.
 	if cpus := float64(j.Tasks) * j.CPUs; best == "" {
-	} else if node := c.view.Lease.Partitions[best]; node == c.view.Me {
+	} else if node := c.view.Lease.Partitions[best]; node == c.view.Self {
 		c.spare -= cpus
-		c.room.Take(j)
+		c.room.Reserve(j)
 	} else {
-		c.view.Peers[node].Spare -= cpus
-		c.view.Peers[node].Room.Take(j)
+		c.view.Peers[node].SpareCPUs -= cpus
+		c.view.Peers[node].Capacity.Reserve(j)
 	}
 	return best
 }
@@ -73,12 +73,12 @@
 		node := c.view.Lease.Partitions[part]
 		switch {
 		case seen[node]:
-		case node == c.view.Me:
+		case node == c.view.Self:
 			seen[node] = true
 			sum += c.room.Size
-		case c.view.LinkUp(node, c.loop.Now):
+		case c.view.IsReachable(node, c.loop.Now):
 			seen[node] = true
-			sum += c.view.Peers[node].Room.Size
+			sum += c.view.Peers[node].Capacity.Size
 		}
 	}
 	return sum / float64(max(1, len(seen)))
--- a/internal/core/controller/jobs.go
+++ b/internal/core/controller/jobs.go
@@ -7,12 +7,12 @@
 	"time"
 
 	"fawncove/internal/core/cluster"
-	"fawncove/internal/core/gate"
+	"fawncove/internal/core/eventloop"
+	"fawncove/internal/core/feature"
 	"fawncove/internal/core/leasevalue"
 	"fawncove/internal/core/owner"
-	"fawncove/internal/core/rebuild"
+	"fawncove/internal/core/recovery"
 	"fawncove/internal/core/sched"
-	"fawncove/internal/core/step"
 	"fawncove/internal/wire"
 )
 
@@ -54,7 +54,7 @@
 // loadPage reads a page of jobs and those behind it. asked is when the first one
 // was asked for: what has changed since may be on a page that was read before.
 func (c *Core) loadPage(asked time.Time, after string, rev uint64, seen map[string]bool) {
-	c.loop.Emit(step.StateRange{Prefix: jobPrefix, After: after, ID: c.loop.Call(func(d step.Completed) {
+	c.loop.Emit(eventloop.StateRange{Prefix: jobPrefix, After: after, ID: c.loop.Call(func(d eventloop.Completion) {
 		if d.Status != 200 {
 			c.loadFailed("jobs", d.Status)
 			return
@@ -75,7 +75,7 @@
 		}
 		for id, j := range c.own.Jobs() {
 			if !seen[jobPrefix+id] && j.Version <= rev {
-				c.own.End(j)
+				c.own.EndJob(j)
 			}
 		}
 		c.fetchLease(func(status int) {
@@ -87,16 +87,16 @@
 				c.loadFailed("generation", status)
 				return
 			}
-			c.loading, c.loaded, c.kept = false, true, rebuild.Memory{}
+			c.loading, c.loaded, c.kept = false, true, recovery.KnownState{}
 			c.rev = rev
-			c.own.Known(rev, asked)
+			c.own.ChangesKnown(rev, asked)
 			c.cancelled = max(c.cancelled, rev, 1) // an earlier process may have told of any
 			c.leaseSeen = c.loop.Now
-			if b, ok := c.view.Lease.Blocks[c.view.Me]; ok && b.Incarnation >= c.hold.Incarnation() && !c.hold.Held() {
-				c.hold.Outgrow(b.Incarnation)
+			if b, ok := c.view.Lease.Blocks[c.view.Self]; ok && b.Incarnation >= c.hold.Incarnation() && !c.hold.Held() {
+				c.hold.RaiseIncarnation(b.Incarnation)
 			}
-			if c.view.Lease.Leader == c.view.Me && c.view.Lease.Incarnation >= c.hold.Incarnation() && c.lead == nil {
-				c.hold.Outgrow(c.view.Lease.Incarnation)
+			if c.view.Lease.Leader == c.view.Self && c.view.Lease.Incarnation >= c.hold.Incarnation() && c.lead == nil {
+				c.hold.RaiseIncarnation(c.view.Lease.Incarnation)
 			}
 			c.renewAt = c.loop.Now
 			c.log.Info("state read", "jobs", len(c.own.Jobs()), "revision", rev)
@@ -115,21 +115,21 @@
 	c.watching = true
 	sent := c.loop.Now
 	// Many changes in a row are read together, to save requests.
-	pause := time.Duration(float64(time.Second) / max(1, 0.4*c.view.Cfg.Cluster.State.RPS/float64(c.nodes())))
-	c.loop.Emit(step.StateWatch{Prefix: root, After: c.rev, Hold: cluster.WatchHold, ID: c.loop.Call(func(d step.Completed) {
+	pause := time.Duration(float64(time.Second) / max(1, 0.4*c.view.Settings.Cluster.State.RPS/float64(c.nodes())))
+	c.loop.Emit(eventloop.StateWatch{Prefix: root, After: c.rev, Hold: cluster.WatchHold, ID: c.loop.Call(func(d eventloop.Completion) {
 		c.watching = false
 		c.watchAt = sent.Add(pause)
 		switch d.Status {
 		case 200:
-			for _, e := range d.Watch.Log {
+			for _, e := range d.Changes.Log {
 				if e.Put != "" {
 					c.applyPut(e.Put, e.Value, e.Version)
 				} else {
 					c.applyDelete(e.Delete, e.Version)
 				}
 			}
-			c.rev = max(c.rev, d.Watch.Revision)
-			c.own.Known(c.rev, sent)
+			c.rev = max(c.rev, d.Changes.Revision)
+			c.own.ChangesKnown(c.rev, sent)
 			c.watch()
 		case 410:
 			c.log.Info("watch too old, reading again")
@@ -141,7 +141,7 @@
 	})})
 }
 
-func (c *Core) nodes() int { return c.view.Cfg.Controllers() }
+func (c *Core) nodes() int { return c.view.Settings.Controllers() }
 
 // applyPut takes a changed key into the picture.
 func (c *Core) applyPut(key string, value []byte, version uint64) {
@@ -161,11 +161,11 @@
 			c.log.Error("job record", "key", key, "err", err)
 			return
 		}
-		c.applyJob(rec, owner.Stamp{Version: version, Born: env.FirstVersion, Form: env.Form})
+		c.applyJob(rec, owner.RecordInfo{Version: version, FirstVersion: env.FirstVersion, Form: env.Form})
 	case strings.HasPrefix(key, endPrefix):
 		var rec wire.EndRecord
 		err := wire.Decode(value, &rec)
-		if err == nil && rec.Form > wire.EndForm && c.view.Par.Levels.Gated() {
+		if err == nil && rec.Form > wire.EndForm && c.view.Params.Levels.KnowsLevels() {
 			err = wire.FormError{What: "end record", Form: rec.Form}
 		}
 		if err != nil {
@@ -185,7 +185,7 @@
 func (c *Core) applyDelete(key string, version uint64) {
 	if id, ok := strings.CutPrefix(key, jobPrefix); ok {
 		if j := c.own.Job(id); j != nil && version >= j.Version {
-			c.own.End(j)
+			c.own.EndJob(j)
 		}
 	} else if strings.HasPrefix(key, LevelPrefix) {
 		c.applyLevel(key, nil, version)
@@ -208,11 +208,11 @@
 	return env, rec, nil
 }
 
-func (c *Core) applyJob(rec wire.JobRecord, at owner.Stamp) {
+func (c *Core) applyJob(rec wire.JobRecord, at owner.RecordInfo) {
 	if _, ok := c.ended[rec.ID]; ok {
 		return
 	}
-	c.own.Put(rec, at)
+	c.own.ApplyJob(rec, at)
 }
 
 // applyEnd notes that a job is over. An end is final.
@@ -234,60 +234,60 @@
 		}
 	}
 	if j := c.own.Job(id); j != nil {
-		c.own.End(j)
+		c.own.EndJob(j)
 	}
 }
 
 // Key is where a job's record is stored.
-func (c *Core) Key(id string) string { return jobPrefix + id }
+func (c *Core) JobKey(id string) string { return jobPrefix + id }
 
 // Basis are the conditions under which the lease value is as this controller knows it,
 // of the generation that it knows.
-func (c *Core) Basis() []wire.Condition {
-	return []wire.Condition{{Key: leaseKey, Version: c.view.Version}, {Key: genKey, Version: c.gen.Version}}
+func (c *Core) LeaseUnchanged() []wire.Condition {
+	return []wire.Condition{{Key: leaseKey, Version: c.view.LeaseVersion}, {Key: genKey, Version: c.gen.Version}}
 }
 
 // Users tells how many submissions are being stored, and when one last found no
 // room in the write limit.
-func (c *Core) Users() (pending int, short time.Time) { return c.userWrites, c.usersShort }
+func (c *Core) UserWrites() (pending int, short time.Time) { return c.userWrites, c.usersShort }
 
 // End decides a job's end by a compare on the version of its record, so
 // that of a completion and a cancellation exactly one wins. then is told
 // whether the end is stored; tries bounds the repeats.
-func (c *Core) End(j *owner.Job, state string, tries int, then func(stored bool)) {
-	id := j.Rec.ID
+func (c *Core) StoreEnd(j *owner.Job, state string, tries int, then func(stored bool)) {
+	id := j.Record.ID
 	done, _ := j.Counts()
-	rec := wire.EndRecord{State: state, Tasks: j.Rec.Tasks, Done: done}
-	if c.view.Open(gate.Envelope) {
+	rec := wire.EndRecord{State: state, Tasks: j.Record.Tasks, Done: done}
+	if c.view.FeatureOpen(feature.Envelope) {
 		rec.Form = wire.EndForm
 	}
 	txn := wire.Txn{
 		If:   []wire.Condition{{Key: jobPrefix + id, Version: j.Version}, {Key: endPrefix + id}},
 		Then: []wire.Op{{Delete: jobPrefix + id}, {Put: endPrefix + id, Value: rec}},
 	}
-	j.Writing = true
-	c.loop.Emit(step.StateTxn{Txn: txn, ID: c.loop.Call(func(d step.Completed) {
-		j.Writing = false
-		j.NextWrite = c.loop.Now.Add(300 * time.Millisecond)
+	j.EndInFlight = true
+	c.loop.Emit(eventloop.StateTxn{Txn: txn, ID: c.loop.Call(func(d eventloop.Completion) {
+		j.EndInFlight = false
+		j.RetryEndAt = c.loop.Now.Add(300 * time.Millisecond)
 		switch {
 		case d.Status == 200:
-			c.own.Tally.Ended(&j.Rec.Job, state == wire.Cancelled, j.Begun() || j.Told != [2]int{})
+			c.own.Served.Ended(&j.Record.Job, state == wire.Cancelled, j.Started() || j.ReportedCounts != [2]int{})
 			c.applyEnd(id, rec, d.Txn.Revision)
 			then(true)
 		case d.Status == 0:
 			// Perhaps done, and only the answer is lost: whoever waits is told what is
 			// there. What is not there yet may still come, and is asked for again.
-			job, begun := j.Rec.Job, j.Begun() || j.Told != [2]int{}
+			job, begun := j.Record.Job, j.Started() || j.ReportedCounts != [2]int{}
 			c.refresh(id, func(bool) {
 				if e, over := c.ended[id]; over && e.State == state {
-					c.own.Tally.Ended(&job, state == wire.Cancelled, begun)
+					c.own.Served.Ended(&job, state == wire.Cancelled, begun)
 				}
-				then(c.Ended(id))
+				then(c.HasEnded(id))
 			})
 		case d.Status == 409:
 			c.refresh(id, func(ok bool) {
-				if j := c.own.Job(id); ok && j != nil && !j.Over && tries > 0 {
-					c.End(j, state, tries-1, then)
+				if j := c.own.Job(id); ok && j != nil && !j.Ended && tries > 0 {
+					c.StoreEnd(j, state, tries-1, then)
 					return
 				}
 				then(ok)
@@ -303,7 +303,7 @@
 	if then == nil {
 		then = func(bool) {}
 	}
-	c.loop.Emit(step.StateGet{Key: endPrefix + id, ID: c.loop.Call(func(d step.Completed) {
+	c.loop.Emit(eventloop.StateGet{Key: endPrefix + id, ID: c.loop.Call(func(d eventloop.Completion) {
 		switch d.Status {
 		case 200:
 			c.applyPut(endPrefix+id, d.Pair.Value, d.Pair.Version)
@@ -317,7 +317,7 @@
 		// Not over a moment ago. The job's record is read second: should the
 		// job end in between, the record is missing and nothing is concluded.
 		known := c.own.Job(id) != nil
-		c.loop.Emit(step.StateGet{Key: jobPrefix + id, ID: c.loop.Call(func(d step.Completed) {
+		c.loop.Emit(eventloop.StateGet{Key: jobPrefix + id, ID: c.loop.Call(func(d eventloop.Completion) {
 			switch d.Status {
 			case 200:
 				c.applyPut(jobPrefix+id, d.Pair.Value, d.Pair.Version)
@@ -338,7 +338,7 @@
 		c.refresh(id, then)
 		return
 	}
-	c.loop.Emit(step.StateGet{Key: jobPrefix + id, ID: c.loop.Call(func(d step.Completed) {
+	c.loop.Emit(eventloop.StateGet{Key: jobPrefix + id, ID: c.loop.Call(func(d eventloop.Completion) {
 		switch d.Status {
 		case 200:
 			c.applyPut(jobPrefix+id, d.Pair.Value, d.Pair.Version)
@@ -357,11 +357,11 @@
 // has come since, by a submission that was carried out late, proves nothing.
 func (c *Core) missing(id string, known bool, then func(ok bool)) {
 	j := c.own.Job(id)
-	c.loop.Emit(step.StateGet{Key: endPrefix + id, ID: c.loop.Call(func(d step.Completed) {
+	c.loop.Emit(eventloop.StateGet{Key: endPrefix + id, ID: c.loop.Call(func(d eventloop.Completion) {
 		switch {
 		case d.Status == 200:
 			c.applyPut(endPrefix+id, d.Pair.Value, d.Pair.Version)
-		case d.Status == 404 && known && j != nil && !j.Over && !j.Writing:
+		case d.Status == 404 && known && j != nil && !j.Ended && !j.EndInFlight:
 			c.lose("a job is gone from it: "+id, c.high, 0)
 		}
 		then(d.Status == 200)
@@ -371,7 +371,7 @@
 // ---- the users' side
 
 func (c *Core) jobAnswer(j *owner.Job) wire.JobAnswer {
-	a := wire.JobAnswer{ID: j.Rec.ID, State: wire.Pending, Done: j.Told[0], Running: j.Told[1]}
+	a := wire.JobAnswer{ID: j.Record.ID, State: wire.Pending, Done: j.ReportedCounts[0], Running: j.ReportedCounts[1]}
 	if c.own.Owns(j) {
 		a.Done, a.Running = j.Counts()
 	}
@@ -422,12 +422,12 @@
 
 // verifyEvery spaces the checks, to keep to a part of the request limit.
 func (c *Core) verifyEvery() time.Duration {
-	return time.Duration(float64(time.Second) / max(1, 0.25*c.view.Cfg.Cluster.State.RPS/float64(c.nodes())))
+	return time.Duration(float64(time.Second) / max(1, 0.25*c.view.Settings.Cluster.State.RPS/float64(c.nodes())))
 }
 
 // verifyMost is how many questions go into a check: two conditions a question and one
 // for the generation, four times txn_ops conditions at most.
-func (c *Core) verifyMost() int { return max(1, 2*c.view.Cfg.Cluster.State.TxnOps-1) }
+func (c *Core) verifyMost() int { return max(1, 2*c.view.Settings.Cluster.State.TxnOps-1) }
 
 // reachable tells whether the state service answers: its watch does so every two
 // seconds if nothing else does. Where it does not, users are told so at once.
@@ -503,7 +503,7 @@
 func (c *Core) tell(q question, current, none bool) {
 	if e, over := c.ended[q.id]; over {
 		q.then(nil, &e, true)
-	} else if j := c.own.Job(q.id); current && j != nil && !j.Over {
+	} else if j := c.own.Job(q.id); current && j != nil && !j.Ended {
 		q.then(j, nil, true)
 	} else {
 		q.then(nil, nil, none)
@@ -521,7 +521,7 @@
 	}
 	c.verify.next = c.loop.Now.Add(c.verifyEvery())
 	conds, known := c.conditions(batch)
-	c.loop.Emit(step.StateTxn{Txn: wire.Txn{If: conds}, ID: c.loop.Call(func(d step.Completed) {
+	c.loop.Emit(eventloop.StateTxn{Txn: wire.Txn{If: conds}, ID: c.loop.Call(func(d eventloop.Completion) {
 		c.checked(batch, known, &d)
 		c.runVerify()
 	})})
@@ -533,7 +533,7 @@
 	conds, known = make([]wire.Condition, 0, 2*len(batch)+1), make(map[string]bool, len(batch))
 	// The generation is part of the compare: one who was cut off while the state lost
 	// data need not see it by the revision, which has gone on since from below.
-	if c.view.Par.Levels.Gated() {
+	if c.view.Params.Levels.KnowsLevels() {
 		conds = append(conds, wire.Condition{Key: genKey, Version: c.gen.Version})
 	}
 	for _, q := range batch {
@@ -541,7 +541,7 @@
 			continue
 		}
 		j := c.own.Job(q.id)
-		if known[q.id] = j != nil && !j.Over; known[q.id] {
+		if known[q.id] = j != nil && !j.Ended; known[q.id] {
 			conds = append(conds, wire.Condition{Key: jobPrefix + q.id, Version: j.Version})
 		} else {
 			conds = append(conds, wire.Condition{Key: jobPrefix + q.id}, wire.Condition{Key: endPrefix + q.id})
@@ -551,7 +551,7 @@
 }
 
 // checked answers the questions of a check.
-func (c *Core) checked(batch []question, known map[string]bool, d *step.Completed) {
+func (c *Core) checked(batch []question, known map[string]bool, d *eventloop.Completion) {
 	failed := map[string]bool{}
 	if d.Status == 409 {
 		if slices.Contains(d.Txn.Failed, genKey) {
@@ -615,13 +615,13 @@
 // that there is none, or to come back.
 func (c *Core) notFound(req uint64, none bool) {
 	if none && c.sure() {
-		c.loop.Answer(req, 404, wire.ErrorAnswer{Error: "no such job"})
+		c.loop.Reply(req, 404, wire.ErrorAnswer{Error: "no such job"})
 	} else {
 		c.loop.Unavailable(req)
 	}
 }
 
-func (c *Core) onPoll(e step.PollIn) {
+func (c *Core) onPoll(e eventloop.QueryRequest) {
 	if !c.mayAsk(e.Req, e.ID) {
 		return
 	}
@@ -632,18 +632,18 @@
 	})
 }
 
-func (c *Core) onCancel(e step.CancelIn) {
+func (c *Core) onCancel(e eventloop.CancelRequest) {
 	if !c.mayAsk(e.Req, e.ID) {
 		return
 	}
 	c.ask(e.ID, false, func(j *owner.Job, end *wire.EndRecord, ok bool) {
 		switch {
 		case end != nil:
-			c.loop.Answer(e.Req, 200, endAnswer(e.ID, *end))
+			c.loop.Reply(e.Req, 200, endAnswer(e.ID, *end))
 		case j != nil:
-			c.End(j, wire.Cancelled, 3, func(bool) {
+			c.StoreEnd(j, wire.Cancelled, 3, func(bool) {
 				if end, over := c.ended[e.ID]; over && c.recovery == nil {
-					c.loop.Answer(e.Req, 200, endAnswer(e.ID, end))
+					c.loop.Reply(e.Req, 200, endAnswer(e.ID, end))
 				} else {
 					c.loop.Unavailable(e.Req)
 				}
@@ -656,18 +656,18 @@
 
 // refusal tells why a job can never run, or that this cannot be said yet.
 func (c *Core) refusal(j *wire.Job) (status int, why string) {
-	if len(c.view.Types) == 0 {
+	if len(c.view.MachineTypes) == 0 {
 		return 503, "machine types not known yet"
 	}
 	if _, known := c.view.TeamOf(j.Team); !known {
 		return 422, "unknown team"
 	}
 	team := c.view.LimitOf(j.Team)
-	need := sched.Amount{CPUs: j.CPUs, Cards: j.GPUs, MemoryGB: j.MemoryGB}
+	need := sched.Resources{CPUs: j.CPUs, GPUs: j.GPUs, MemoryGB: j.MemoryGB}
 	fits := false
-	for name, t := range c.view.Types {
+	for name, t := range c.view.MachineTypes {
 		if (len(j.Types) == 0 || slices.Contains(j.Types, name)) &&
-			(j.Zone == "" || slices.Contains(t.Zones, j.Zone)) && need.Fits(cluster.SizeOf(t)) {
+			(j.Zone == "" || slices.Contains(t.Zones, j.Zone)) && need.Fits(cluster.MachineSize(t)) {
 			fits = true
 		}
 	}
@@ -678,7 +678,7 @@
 	if j.Shape != wire.Array {
 		n = float64(j.Tasks)
 	}
-	if !team.Allows(sched.Amount{}, sched.Amount{}.Add(need, n)) {
+	if !team.Allows(sched.Resources{}, sched.Resources{}.Add(need, n)) {
 		return 422, "more than the team's limit"
 	}
 	return 0, ""
@@ -689,18 +689,18 @@
 func (c *Core) known(req uint64, id string, j *owner.Job, end *wire.EndRecord) bool {
 	switch {
 	case end != nil:
-		c.loop.Answer(req, 200, endAnswer(id, *end))
+		c.loop.Reply(req, 200, endAnswer(id, *end))
 	case j != nil:
-		c.loop.Answer(req, 200, c.jobAnswer(j))
+		c.loop.Reply(req, 200, c.jobAnswer(j))
 	default:
 		return false
 	}
 	return true
 }
 
-func (c *Core) onSubmit(e step.SubmitIn) {
+func (c *Core) onSubmit(e eventloop.SubmitRequest) {
 	if e.Job.ID == "" {
-		c.loop.Answer(e.Req, 400, wire.ErrorAnswer{Error: fmt.Sprint(e.Err)})
+		c.loop.Reply(e.Req, 400, wire.ErrorAnswer{Error: fmt.Sprint(e.Err)})
 		return
 	}
 	if !c.serves() {
@@ -712,7 +712,7 @@
 	if e.Err == nil {
 		status, why = c.refusal(&e.Job)
 	}
-	if status != 0 || c.own.Job(id) != nil || c.Ended(id) {
+	if status != 0 || c.own.Job(id) != nil || c.HasEnded(id) {
 		c.refuse(e.Req, id, status, why)
 		return
 	}
@@ -725,7 +725,7 @@
 	if rec.Shard != "" {
 		rec.Owner = c.homeOf(rec.Shard)
 	}
-	c.store(e.Req, rec, c.view.Open(gate.Envelope))
+	c.store(e.Req, rec, c.view.FeatureOpen(feature.Envelope))
 }
 
 // refuse answers a submission that is not to be stored. A known job is answered as it
@@ -738,7 +738,7 @@
 		case !ok || !c.sure() || status == 503 || status == 0:
 			c.loop.Unavailable(req)
 		default:
-			c.loop.Answer(req, status, wire.ErrorAnswer{Error: why})
+			c.loop.Reply(req, status, wire.ErrorAnswer{Error: why})
 		}
 	})
 }
@@ -757,35 +757,35 @@
 		value, form = env, env.Form
 	}
 	c.userWrites++
-	c.own.Tally.Came(&rec.Job)
-	c.loop.Emit(step.StateTxn{
+	c.own.Served.Submitted(&rec.Job)
+	c.loop.Emit(eventloop.StateTxn{
 		Txn: wire.Txn{
 			If:   []wire.Condition{{Key: jobPrefix + id}, {Key: endPrefix + id}},
 			Then: []wire.Op{{Put: jobPrefix + id, Value: value}},
 		},
-		ID: c.loop.Call(func(d step.Completed) {
+		ID: c.loop.Call(func(d eventloop.Completion) {
 			c.userWrites--
 			if d.Status != 200 && d.Status != 409 && d.Status != 0 {
 				c.usersShort = c.loop.Now
 			}
 			switch d.Status {
 			case 200:
-				c.own.Tally.Accepted(&rec.Job)
-				c.applyJob(rec, owner.Stamp{Version: d.Txn.Revision, Form: form})
+				c.own.Served.Accepted(&rec.Job)
+				c.applyJob(rec, owner.RecordInfo{Version: d.Txn.Revision, Form: form})
 				if c.recovery != nil {
 					c.loop.Unavailable(req) // perhaps it was stored in what is lost
 					return
 				}
 				c.log.Debug("accepted", "job", id, "class", rec.Class, "tasks", rec.Tasks, "image", rec.Image, "owner", rec.Owner)
-				c.loop.Answer(req, 201, wire.JobAnswer{ID: id, State: wire.Pending})
+				c.loop.Reply(req, 201, wire.JobAnswer{ID: id, State: wire.Pending})
 			case 409, 0: // it is known already, or perhaps stored and only the answer lost
 				c.reread(id, d.Txn.Failed, func(ok bool) {
-					if d.Status == 0 && (c.Ended(id) || (ok && c.own.Job(id) != nil)) {
-						c.own.Tally.Accepted(&rec.Job)
+					if d.Status == 0 && (c.HasEnded(id) || (ok && c.own.Job(id) != nil)) {
+						c.own.Served.Accepted(&rec.Job)
 					}
 					if end, over := c.ended[id]; over {
 						c.known(req, id, nil, &end)
-					} else if j := c.own.Job(id); !ok || j == nil || j.Over || !c.known(req, id, j, nil) {
+					} else if j := c.own.Job(id); !ok || j == nil || j.Ended || !c.known(req, id, j, nil) {
 						c.loop.Unavailable(req)
 					}
 				})
@@ -808,11 +808,11 @@
 //
 // While the state is being rebuilt workers are answered with their own tokens, as
 // those of others are, so that what runs lives on.
-func (c *Core) Ready() bool {
+func (c *Core) WorkersServed() bool {
 	return c.recovery != nil || c.serves() && (c.hold.Held() || !c.refusedAlone())
 }
 
 // Ended tells whether a job is known to be over.
-func (c *Core) Ended(id string) bool { _, ok := c.ended[id]; return ok }
+func (c *Core) HasEnded(id string) bool { _, ok := c.ended[id]; return ok }
 
 func (c *Core) homeOf(team string) string { return c.view.Lease.Partitions[team] }
--- a/internal/core/controller/lead.go
+++ b/internal/core/controller/lead.go
@@ -3,9 +3,9 @@
 import (
 	"time"
 
+	"fawncove/internal/core/eventloop"
 	"fawncove/internal/core/leader"
 	"fawncove/internal/core/owner"
-	"fawncove/internal/core/step"
 	"fawncove/internal/peerpb"
 	"fawncove/internal/wire"
 )
@@ -27,15 +27,15 @@
 	c.log.Info("leading", "term", term)
 	c.stopLeading()
 	c.lead = leader.New(&c.loop, c.view, &c.book, local{c.own, c}, c.log, c.hold.Incarnation(), term, c.baseSeen)
-	c.lead.Stored(c.writeSent)
-	c.view.Leading = true
+	c.lead.PublishStored(c.writeSent)
+	c.view.IsLeader = true
 }
 
 // stopLeading drops the leader, if there is one.
 func (c *Core) stopLeading() {
 	if c.lead != nil {
-		c.lead.End()
-		c.lead, c.view.Leading = nil, false
+		c.lead.Stop()
+		c.lead, c.view.IsLeader = nil, false
 	}
 }
 
@@ -49,17 +49,17 @@
 			c.leaseSeen = at
 		}
 	}
-	if c.lead == nil || r.GetNode() == c.view.Me {
+	if c.lead == nil || r.GetNode() == c.view.Self {
 		return
 	}
 	if c.view.Peers[r.GetNode()] == nil {
 		c.log.Warn("renewal from an unknown controller", "node", r.GetNode())
 		return
 	}
-	if !c.lead.Renewal(r) {
+	if !c.lead.HandleRenewal(r) {
 		return // late
 	}
-	c.view.Peers[r.GetNode()].Tell(r.GetTeams())
+	c.view.Peers[r.GetNode()].UpdateTeamUse(r.GetTeams())
 	c.tellKnown(r)
 	c.log.Debug("renewal", "node", r.GetNode(), "number", r.GetNumber(), "heard", len(r.GetReconciled()), "demand", len(r.GetDemand()))
 	c.leadTick()
@@ -70,20 +70,20 @@
 	if c.lead == nil {
 		return
 	}
-	if c.hold.Hurried() {
-		c.hold.Calm()
-		c.lead.Stir()
+	if c.hold.RenewalUrgent() {
+		c.hold.RenewalSent()
+		c.lead.RequestPublish()
 	}
-	if !c.leaseBusy && c.lead.Due() {
+	if !c.leaseBusy && c.lead.TakePublishDue() {
 		c.publish()
 	}
-	c.lead.Run()
+	c.lead.RunAutoscaler()
 }
 
 // publish writes what the leader proposes.
 func (c *Core) publish() {
 	own := c.Renewal()
-	c.own.Promise(own)
+	c.own.ReserveQuota(own)
 	rec, stored := c.lead.Publish(own)
 	c.writeLease(rec, stored)
 }
@@ -96,14 +96,14 @@
 		c.log.Error("names in a renewal", "err", err)
 	}
 	for _, name := range names {
-		if s := c.lead.Seen(name); s.GetEndpoint() != "" && c.view.OwnerOf(name) == r.GetNode() {
+		if s := c.lead.MachineInfo(name); s.GetEndpoint() != "" && c.view.HolderOf(name) == r.GetNode() {
 			known = append(known, s)
 		}
 	}
 	if len(known) > 0 {
 		f := c.frame()
 		f.SpareCpus, f.KnownMachines = c.spare, known
-		c.loop.Emit(step.PeerSend{To: r.GetNode(), Frame: f})
+		c.loop.Emit(eventloop.PeerSend{To: r.GetNode(), Frame: f})
 	}
 }
 
@@ -116,8 +116,8 @@
 		return
 	}
 	c.tradedAt = c.loop.Now
-	c.own.Trade()
+	c.own.RequestQuotaRenewal()
 	if c.lead != nil && len(c.view.Lease.Shares) > 0 {
-		c.lead.Trade()
+		c.lead.RequestQuotaPublish()
 	}
 }
--- a/internal/core/controller/lease.go
+++ b/internal/core/controller/lease.go
@@ -8,10 +8,10 @@
 	"google.golang.org/protobuf/proto"
 
 	"fawncove/internal/core/cluster"
-	"fawncove/internal/core/gate"
+	"fawncove/internal/core/eventloop"
+	"fawncove/internal/core/feature"
 	"fawncove/internal/core/leader"
 	"fawncove/internal/core/leasevalue"
-	"fawncove/internal/core/step"
 	"fawncove/internal/peerpb"
 	"fawncove/internal/wire"
 )
@@ -34,22 +34,22 @@
 	since := c.loop.Now
 	if c.unread != nil {
 		since = c.unreadSince
-		if c.unread.Version <= c.view.Version || c.unread.Version <= p.Version {
+		if c.unread.Version <= c.view.LeaseVersion || c.unread.Version <= p.Version {
 			c.unread = nil
 		}
 	}
-	if p.Version <= c.view.Version {
+	if p.Version <= c.view.LeaseVersion {
 		return
 	}
 	rec, err := c.book.Read(p.Value)
-	if errors.Is(err, leasevalue.ErrMissing) {
+	if errors.Is(err, leasevalue.ErrPageMissing) {
 		if c.unread == nil {
 			c.unread, c.unreadSince = &p, since
 		}
 		return
 	}
-	if err == nil && c.view.Par.Levels.Gated() {
-		err = c.view.Par.Levels.Follow(gate.Level(rec.Level))
+	if err == nil && c.view.Params.Levels.KnowsLevels() {
+		err = c.view.Params.Levels.Follow(feature.Level(rec.Level))
 	}
 	if err != nil {
 		c.cannotRead(p.Version, err)
@@ -82,8 +82,8 @@
 	var try func(left int)
 	var pages func(left int, after string)
 	try = func(left int) {
-		known := c.view.Version
-		c.loop.Emit(step.StateGet{Key: leaseKey, ID: c.loop.Call(func(d step.Completed) {
+		known := c.view.LeaseVersion
+		c.loop.Emit(eventloop.StateGet{Key: leaseKey, ID: c.loop.Call(func(d eventloop.Completion) {
 			if c.recovery == nil && d.Pair.Version < known && (d.Status == 200 || d.Status == 404) {
 				// Its only writes make it newer. Where just the last revision is lost, the
 				// next one has the same number and shows nothing; no write of the value
@@ -106,7 +106,7 @@
 		})})
 	}
 	pages = func(left int, after string) {
-		c.loop.Emit(step.StateRange{Prefix: leasevalue.PagePrefix, After: after, ID: c.loop.Call(func(d step.Completed) {
+		c.loop.Emit(eventloop.StateRange{Prefix: leasevalue.PagePrefix, After: after, ID: c.loop.Call(func(d eventloop.Completion) {
 			if d.Status != 200 {
 				done(d.Status)
 				return
@@ -131,17 +131,17 @@
 // applyLease takes over a newer lease value and what it means for this
 // controller's block, homes and rights.
 func (c *Core) applyLease(rec wire.LeaseRecord, version uint64) {
-	if version <= c.view.Version || c.recovery != nil {
+	if version <= c.view.LeaseVersion || c.recovery != nil {
 		return
 	}
 	before := c.view.Lease.Blocks
-	c.view.Take(rec, version)
+	c.view.ApplyLease(rec, version)
 	if c.lead != nil {
-		c.lead.Renewed(before)
+		c.lead.LeaseApplied(before)
 	}
 	c.leaseSeen = c.loop.Now
 	c.baseSeen, c.valueSeen = c.valueSeen, c.loop.Now
-	if rec.Leader == c.view.Me && rec.Incarnation == c.hold.Incarnation() {
+	if rec.Leader == c.view.Self && rec.Incarnation == c.hold.Incarnation() {
 		if c.lead == nil || c.lead.Term() != rec.Term {
 			c.startLeading(rec.Term)
 		}
@@ -149,40 +149,40 @@
 		c.log.Info("no longer leader", "leader", rec.Leader, "term", rec.Term)
 		c.stopLeading()
 	}
-	b, ok := rec.Blocks[c.view.Me]
+	b, ok := rec.Blocks[c.view.Self]
 	if !ok || b.Incarnation != c.hold.Incarnation() {
 		if c.hold.Held() {
-			c.log.Info("block lost", "machines", c.own.Holds())
+			c.log.Info("block lost", "machines", c.own.MachineCount())
 			c.loseBlock()
 		}
 		if ok && !c.leaving {
 			// A process that is back within a moment may have begun by a clock
 			// that stood lower than its predecessor's. Nobody would hear it then.
-			c.hold.Outgrow(b.Incarnation)
+			c.hold.RaiseIncarnation(b.Incarnation)
 		}
-		c.hold.Hurry()
+		c.hold.RequestRenewal()
 		return
 	}
-	changed := c.hold.Granted(b)
-	c.own.Leased(b)
-	if changed && c.own.GivesBack() {
-		c.hold.Hurry() // only what is given back under this grant counts
+	changed := c.hold.Renewed(b)
+	c.own.ApplyBlock(b)
+	if changed && c.own.ReleasesMachines() {
+		c.hold.RequestRenewal() // only what is given back under this grant counts
 	}
 }
 
 // loseBlock forgets all that the right to a block was the ground of.
 func (c *Core) loseBlock() {
-	c.hold.Lose()
-	c.own.Lose()
+	c.hold.Release()
+	c.own.ReleaseBlock()
 }
 
 // Renewal describes this controller to the leader, numbered as the next one.
 func (c *Core) Renewal() *peerpb.Renewal {
-	r := &peerpb.Renewal{Node: c.view.Me, Incarnation: c.hold.Incarnation(), Number: c.hold.NextRenewal()}
-	if c.view.Par.Levels.Gated() {
+	r := &peerpb.Renewal{Node: c.view.Self, Incarnation: c.hold.Incarnation(), Number: c.hold.NextRenewal()}
+	if c.view.Params.Levels.KnowsLevels() {
 		r.Form = renewalForm
 	}
-	c.own.Describe(r)
+	c.own.FillRenewal(r)
 	return r
 }
 
@@ -203,7 +203,7 @@
 		return false
 	}
 	for _, p := range c.view.Peers {
-		if c.loop.Now.Sub(p.Heard) < cluster.LinkDead && p.StateOK && c.loop.Now.Sub(p.OKSince) > refusedProof {
+		if c.loop.Now.Sub(p.LastFrame) < cluster.PeerTimeout && p.StateReachable && c.loop.Now.Sub(p.StateReachableSince) > refusedProof {
 			return true
 		}
 	}
@@ -225,9 +225,9 @@
 	}
 	switch {
 	case c.refusedAlone():
-		c.log.Info("resigned, the state service refuses this controller alone", "machines", c.own.Holds(), "led", c.lead != nil)
+		c.log.Info("resigned, the state service refuses this controller alone", "machines", c.own.MachineCount(), "led", c.lead != nil)
 	case c.workersElsewhere():
-		c.log.Info("resigned, the workers reach others but not this controller", "machines", c.own.Holds(), "led", c.lead != nil)
+		c.log.Info("resigned, the workers reach others but not this controller", "machines", c.own.MachineCount(), "led", c.lead != nil)
 		c.awayUntil = c.loop.Now.Add(awayFor)
 	default:
 		return
@@ -242,16 +242,16 @@
 // workersElsewhere tells whether no machine of the block reports here any more
 // while at least half of them report to other controllers.
 func (c *Core) workersElsewhere() bool {
-	if !c.own.Deserted() {
+	if !c.own.AllWorkersElsewhere() {
 		return false
 	}
 	guests := 0
 	for name, p := range c.view.Peers {
-		if c.view.LinkUp(name, c.loop.Now) {
-			guests += p.Guests
+		if c.view.IsReachable(name, c.loop.Now) {
+			guests += p.ForeignWorkers
 		}
 	}
-	return 2*guests >= c.own.Holds()
+	return 2*guests >= c.own.MachineCount()
 }
 
 // away tells whether this controller wants no block for now.
@@ -261,10 +261,10 @@
 
 // giveUp ends every right that this process has; renew tells the others.
 func (c *Core) giveUp() {
-	c.hold.Outgrow(c.hold.Incarnation())
+	c.hold.RaiseIncarnation(c.hold.Incarnation())
 	c.stopLeading()
 	c.loseBlock()
-	c.hold.Hurry()
+	c.hold.RequestRenewal()
 }
 
 // leave gives up block, homes and lead because this process is to end. Whoever
@@ -275,16 +275,16 @@
 		return
 	}
 	c.leaving = true
-	c.log.Info("leaving", "machines", c.own.Holds(), "leads", c.lead != nil)
+	c.log.Info("leaving", "machines", c.own.MachineCount(), "leads", c.lead != nil)
 	c.giveUp()
 	c.renew()
 }
 
 // Left tells whether nothing is left to hand over by a process that leaves: the
 // lease value names it no longer. It is true of one that never read any.
-func (c *Core) Left() bool {
-	_, held := c.view.Lease.Blocks[c.view.Me]
-	return c.leaving && !held && c.view.Lease.Leader != c.view.Me
+func (c *Core) HandedOver() bool {
+	_, held := c.view.Lease.Blocks[c.view.Self]
+	return c.leaving && !held && c.view.Lease.Leader != c.view.Self
 }
 
 // renew asks for a renewal of the block lease: straight from the leader where
@@ -294,21 +294,21 @@
 	if c.lead != nil || c.view.Lease.Leader == "" {
 		return // the leader renews its own with every write
 	}
-	direct := c.view.LinkUp(c.view.Lease.Leader, c.loop.Now)
+	direct := c.view.IsReachable(c.view.Lease.Leader, c.loop.Now)
 	gap := renewGapStore
 	if direct {
 		gap = renewGap
 	}
-	last := c.renewAt.Add(-c.view.Par.Publish)
-	if c.loop.Now.Before(c.renewAt) && !(c.hold.Hurried() && c.loop.Now.Sub(last) >= gap) {
+	last := c.renewAt.Add(-c.view.Params.PublishInterval)
+	if c.loop.Now.Before(c.renewAt) && !(c.hold.RenewalUrgent() && c.loop.Now.Sub(last) >= gap) {
 		return
 	}
-	c.hold.Calm()
-	c.renewAt = c.loop.Now.Add(c.view.Par.Publish)
+	c.hold.RenewalSent()
+	c.renewAt = c.loop.Now.Add(c.view.Params.PublishInterval)
 	r := c.Renewal()
 	r.Resigned = !c.hold.Held() && c.away()
-	c.own.Promise(r)
-	c.hold.Sent(c.loop.Now)
+	c.own.ReserveQuota(r)
+	c.hold.RecordRenewal(c.loop.Now)
 	to := []string{c.view.Lease.Leader}
 	if r.Resigned {
 		// The lease value it knows is as old as the refusal; it may even name
@@ -320,19 +320,19 @@
 		for _, name := range to {
 			f := c.frame()
 			f.Renewal = r
-			c.loop.Emit(step.PeerSend{To: name, Frame: f})
+			c.loop.Emit(eventloop.PeerSend{To: name, Frame: f})
 		}
 		return
 	}
 	// As base64 in a value of limited size.
-	trim(r, int(0.9*1024*c.view.Cfg.Cluster.State.ValueKB*3/4)-64)
+	trim(r, int(0.9*1024*c.view.Settings.Cluster.State.ValueKB*3/4)-64)
 	b, err := proto.MarshalOptions{Deterministic: true}.Marshal(r)
 	if err != nil {
 		c.log.Error("renewal", "err", err)
 		return
 	}
-	c.loop.Emit(step.StateTxn{Control: true, ID: c.loop.Call(func(step.Completed) {}),
-		Txn: wire.Txn{Then: []wire.Op{{Put: renPrefix + c.view.Me, Value: map[string]string{
+	c.loop.Emit(eventloop.StateTxn{LeaseBudget: true, ID: c.loop.Call(func(eventloop.Completion) {}),
+		Txn: wire.Txn{Then: []wire.Op{{Put: renPrefix + c.view.Self, Value: map[string]string{
 			"pb": base64.StdEncoding.EncodeToString(b)}}}}})
 }
 
@@ -387,26 +387,26 @@
 	if c.lead != nil || c.leaseBusy || c.leaving || c.loop.Now.Before(c.awayUntil) {
 		return
 	}
-	mine := c.view.Lease.Leader == c.view.Me
+	mine := c.view.Lease.Leader == c.view.Self
 	// The controllers wait a little longer one after the other, so that they
 	// do not all try in the same moment.
 	patience := leaderDead
 	for name := range c.view.Peers {
-		if name < c.view.Me {
+		if name < c.view.Self {
 			patience += time.Second
 		}
 	}
-	if c.unreadable > c.view.Version {
+	if c.unreadable > c.view.LeaseVersion {
 		return // somebody leads, in a form that cannot be read here
 	}
-	if c.view.Version != 0 && !mine && c.loop.Now.Sub(c.leaseSeen) < patience {
+	if c.view.LeaseVersion != 0 && !mine && c.loop.Now.Sub(c.leaseSeen) < patience {
 		return
 	}
 	rec := c.view.Lease.Clone()
 	rec.Term++
-	rec.Leader, rec.Incarnation = c.view.Me, c.hold.Incarnation()
+	rec.Leader, rec.Incarnation = c.view.Self, c.hold.Incarnation()
 	rec.Sequence++
-	leader.Regrant(&rec, c.view.Me, c.hold.Incarnation())
+	leader.GrantAnew(&rec, c.view.Self, c.hold.Incarnation())
 	c.writeLease(rec, func() {})
 }
 
@@ -416,42 +416,42 @@
 	c.leaseBusy = true
 	sent := c.loop.Now
 	c.writeSent = sent
-	if b, ok := rec.Blocks[c.view.Me]; ok && b.Incarnation == c.hold.Incarnation() {
-		b.Renewal = c.hold.Sent(c.loop.Now)
-		rec.Blocks[c.view.Me] = b
+	if b, ok := rec.Blocks[c.view.Self]; ok && b.Incarnation == c.hold.Incarnation() {
+		b.Renewal = c.hold.RecordRenewal(c.loop.Now)
+		rec.Blocks[c.view.Self] = b
 	}
 	ops := []wire.Op{{Put: leaseKey, Value: rec}}
-	var draft *leasevalue.Draft
+	var draft *leasevalue.PendingWrite
 	if rec.Form >= 2 {
 		var err error
-		if draft, err = c.book.Write(&rec, c.view.Cfg.ValueLimits()); err != nil {
+		if draft, err = c.book.Write(&rec, c.view.Settings.ValueLimits()); err != nil {
 			// Publishing keeps within what a write can take, but for several
 			// takeovers at once.
 			c.log.Error("lease value", "err", err)
 			c.leaseBusy = false
 			if c.lead != nil {
-				c.lead.TooLarge()
+				c.lead.ValueTooLarge()
 			}
 			return
 		}
 		ops = draft.Ops
-		c.view.ValueBytes = draft.Bytes
+		c.view.LeaseValueBytes = draft.Bytes
 	}
-	c.loop.Emit(step.StateTxn{Control: true,
+	c.loop.Emit(eventloop.StateTxn{LeaseBudget: true,
 		// The generation is part of the compare: when the state has been rebuilt
 		// its revisions count again from below, and a write of before that could
 		// find the version it was based on.
-		Txn: wire.Txn{If: append(c.Basis(), c.raiseConds(&rec)...), Then: ops},
-		ID: c.loop.Call(func(d step.Completed) {
+		Txn: wire.Txn{If: append(c.LeaseUnchanged(), c.raiseConds(&rec)...), Then: ops},
+		ID: c.loop.Call(func(d eventloop.Completion) {
 			c.leaseBusy = false
 			if d.Status == 200 {
 				if draft != nil {
-					draft.Stored()
+					draft.Commit()
 				}
 				then()
 				c.applyLease(rec, d.Txn.Revision)
 				if c.lead != nil {
-					c.lead.Stored(sent)
+					c.lead.PublishStored(sent)
 					c.leadTick()
 				}
 				return
@@ -461,7 +461,7 @@
 			c.fetchLease(func(int) {
 				c.leaseBusy = false
 				if c.lead != nil {
-					c.lead.Stir()
+					c.lead.RequestPublish()
 				}
 			})
 		}),
--- a/internal/core/controller/level.go
+++ b/internal/core/controller/level.go
@@ -7,8 +7,8 @@
 	"time"
 
 	"fawncove/internal/core/cluster"
-	"fawncove/internal/core/gate"
-	"fawncove/internal/core/step"
+	"fawncove/internal/core/eventloop"
+	"fawncove/internal/core/feature"
 	"fawncove/internal/wire"
 )
 
@@ -18,9 +18,9 @@
 const (
 	// LevelPrefix is where all that has to do with levels is stored, each
 	// controller's record below NodePrefix; WordKey is the operator's.
-	LevelPrefix = root + "g/"
-	NodePrefix  = LevelPrefix + "n/"
-	WordKey     = LevelPrefix + "word"
+	LevelPrefix        = root + "g/"
+	ControllerPrefix   = LevelPrefix + "n/"
+	OperatorRequestKey = LevelPrefix + "word"
 
 	// frameForm and renewalForm are the newest forms of messages between
 	// controllers.
@@ -45,7 +45,7 @@
 func (c *Core) serves() bool { return c.loaded && c.refused == nil && c.recovery == nil }
 
 // Refused tells why this version cannot serve this cluster, or nil.
-func (c *Core) Refused() error { return c.refused }
+func (c *Core) Incompatible() error { return c.refused }
 
 // cannotRead is told of a lease value that cannot be read. One in a form or at a
 // level that this version does not know says that the cluster has moved on: from
@@ -56,7 +56,7 @@
 		return
 	}
 	c.unreadable = version
-	if !c.view.Par.Levels.Gated() || !tooOld(err) {
+	if !c.view.Params.Levels.KnowsLevels() || !tooOld(err) {
 		c.log.Error("lease value", "err", err)
 		return
 	}
@@ -64,7 +64,7 @@
 		return
 	}
 	c.refused = err
-	c.log.Error("refuses to serve", "version", c.view.Par.Version, "err", err)
+	c.log.Error("refuses to serve", "version", c.view.Params.Version, "err", err)
 	c.stopLeading()
 	c.loseBlock()
 }
@@ -72,7 +72,7 @@
 // tooOld tells an unknown form or level from damage.
 func tooOld(err error) bool {
 	var form wire.FormError
-	var lvl gate.LevelError
+	var lvl feature.LevelError
 	return errors.As(err, &form) || errors.As(err, &lvl)
 }
 
@@ -84,25 +84,25 @@
 	if rec.Level == c.view.Lease.Level && rec.Confirmed == c.view.Lease.Confirmed {
 		return nil
 	}
-	conds := []wire.Condition{{Key: WordKey, Version: c.view.Word.Version}, {Key: NodePrefix + c.view.Me, Version: c.view.Controllers[c.view.Me].Version}}
+	conds := []wire.Condition{{Key: OperatorRequestKey, Version: c.view.OperatorRequest.Version}, {Key: ControllerPrefix + c.view.Self, Version: c.view.Controllers[c.view.Self].Version}}
 	for _, name := range cluster.SortedKeys(c.view.Peers) {
-		conds = append(conds, wire.Condition{Key: NodePrefix + name, Version: c.view.Controllers[name].Version})
+		conds = append(conds, wire.Condition{Key: ControllerPrefix + name, Version: c.view.Controllers[name].Version})
 	}
 	return conds
 }
 
 // applyLevel takes in a key below LevelPrefix; value is nil if it is gone.
 func (c *Core) applyLevel(key string, value []byte, version uint64) {
-	if !c.view.Par.Levels.Gated() {
+	if !c.view.Params.Levels.KnowsLevels() {
 		return
 	}
-	if key == WordKey {
-		c.view.Word = keep(c, c.view.Word, key, value, version, func(w wire.OperatorRequest) int { return w.Form })
-	} else if name, ok := strings.CutPrefix(key, NodePrefix); ok {
+	if key == OperatorRequestKey {
+		c.view.OperatorRequest = keep(c, c.view.OperatorRequest, key, value, version, func(w wire.OperatorRequest) int { return w.Form })
+	} else if name, ok := strings.CutPrefix(key, ControllerPrefix); ok {
 		c.view.Controllers[name] = keep(c, c.view.Controllers[name], key, value, version, func(r wire.ControllerRecord) int { return r.Form })
 	}
 	if c.lead != nil {
-		c.lead.Stir()
+		c.lead.RequestPublish()
 	}
 }
 
@@ -134,7 +134,7 @@
 		return
 	}
 	c.level.reading = true
-	c.loop.Emit(step.StateRange{Prefix: LevelPrefix, ID: c.loop.Call(func(d step.Completed) {
+	c.loop.Emit(eventloop.StateRange{Prefix: LevelPrefix, ID: c.loop.Call(func(d eventloop.Completion) {
 		c.level.reading = false
 		if d.Status != 200 {
 			c.level.next = c.loop.Now.Add(time.Second)
@@ -165,37 +165,37 @@
 // it has come, when that has changed. It is written under the version that is
 // known, so that an earlier process's late write cannot replace it.
 func (c *Core) tellLevel() {
-	if !c.view.Par.Levels.Gated() {
+	if !c.view.Params.Levels.KnowsLevels() {
 		return
 	}
 	if !c.level.read {
 		c.readLevels()
 		return
 	}
-	if c.level.busy || c.loop.Now.Before(c.level.next) || c.view.Version == 0 {
+	if c.level.busy || c.loop.Now.Before(c.level.next) || c.view.LeaseVersion == 0 {
 		return
 	}
 	c.level.next = c.loop.Now.Add(tellGap)
-	stored := c.view.Controllers[c.view.Me]
-	rec := wire.ControllerRecord{Form: wire.ControllerForm, Incarnation: c.hold.Incarnation(), Version: c.view.Par.Version,
-		OldestLevel: uint32(c.view.Par.Levels.Oldest), NewestLevel: uint32(c.view.Par.Levels.Newest), SeenLevel: c.view.Lease.Level,
-		Ready: c.Healthy(), UnreconciledMachines: c.own.Unheard(), OutdatedRecords: c.own.Left()}
+	stored := c.view.Controllers[c.view.Self]
+	rec := wire.ControllerRecord{Form: wire.ControllerForm, Incarnation: c.hold.Incarnation(), Version: c.view.Params.Version,
+		OldestLevel: uint32(c.view.Params.Levels.Oldest), NewestLevel: uint32(c.view.Params.Levels.Newest), SeenLevel: c.view.Lease.Level,
+		Ready: c.Healthy(), UnreconciledMachines: c.own.UnreconciledMachines(), OutdatedRecords: c.own.OutdatedRecords()}
 	if c.lead != nil {
-		rec.LevelBlockers = c.lead.Waits()
+		rec.LevelBlockers = c.lead.LevelBlockers()
 	}
 	if !c.worthTelling(&rec, &stored.Value) {
 		return
 	}
 	rec.UpdatedAtMs = c.loop.Now.UnixMilli()
 	c.level.busy = true
-	key := NodePrefix + c.view.Me
-	c.loop.Emit(step.StateTxn{
+	key := ControllerPrefix + c.view.Self
+	c.loop.Emit(eventloop.StateTxn{
 		Txn: wire.Txn{If: []wire.Condition{{Key: key, Version: stored.Version}}, Then: []wire.Op{{Put: key, Value: rec}}},
-		ID: c.loop.Call(func(d step.Completed) {
+		ID: c.loop.Call(func(d eventloop.Completion) {
 			c.level.busy = false
 			switch d.Status {
 			case 200:
-				c.view.Controllers[c.view.Me] = cluster.Stored[wire.ControllerRecord]{Value: rec, Version: d.Txn.Revision}
+				c.view.Controllers[c.view.Self] = cluster.Stored[wire.ControllerRecord]{Value: rec, Version: d.Txn.Revision}
 			case 409:
 				c.level.read = false // something has changed unseen: read again
 			}
--- a/internal/core/controller/level_test.go
+++ b/internal/core/controller/level_test.go
@@ -7,22 +7,22 @@
 
 	"fawncove/internal/config"
 	"fawncove/internal/core/cluster"
-	"fawncove/internal/core/gate"
+	"fawncove/internal/core/eventloop"
+	"fawncove/internal/core/feature"
 	"fawncove/internal/core/leasevalue"
-	"fawncove/internal/core/step"
 	"fawncove/internal/wire"
 )
 
 // levelled is a lease value of n0 at a level.
-func levelled(level, confirmed gate.Level) wire.LeaseRecord {
+func levelled(level, confirmed feature.Level) wire.LeaseRecord {
 	return wire.LeaseRecord{Form: leasevalue.Form, Level: uint32(level), Confirmed: uint32(confirmed), Generation: 3, Term: 3, Leader: "n0", Incarnation: 7,
 		Blocks: map[string]wire.Block{"n0": {Grant: 1 << 18, Incarnation: 7, Renewal: 1}}, Partitions: map[string]string{"free": "n0"}}
 }
 
 // txns are the transactions among effects that put a key.
-func txns(effects []step.Effect, key string) (out []step.StateTxn) {
+func txns(effects []eventloop.Effect, key string) (out []eventloop.StateTxn) {
 	for _, e := range effects {
-		if x, ok := e.(step.StateTxn); ok && slices.ContainsFunc(x.Txn.Then, func(op wire.Op) bool { return op.Put == key }) {
+		if x, ok := e.(eventloop.StateTxn); ok && slices.ContainsFunc(x.Txn.Then, func(op wire.Op) bool { return op.Put == key }) {
 			out = append(out, x)
 		}
 	}
@@ -36,7 +36,7 @@
 	c, _ := newCore(t, []config.Team{{Name: "free"}}, levelled(1, 1))
 	c.view.Controllers["n0"] = cluster.Stored[wire.ControllerRecord]{Version: 11}
 	c.view.Controllers["n1"] = cluster.Stored[wire.ControllerRecord]{Version: 12}
-	c.view.Word.Version = 13
+	c.view.OperatorRequest.Version = 13
 	for _, raise := range []bool{false, true} {
 		c.loop.Begin(c.loop.Now.Add(time.Second))
 		rec := c.view.Lease.Clone()
@@ -51,7 +51,7 @@
 		}
 		want := []wire.Condition{{Key: leaseKey, Version: 5}, {Key: genKey}}
 		if raise {
-			want = append(want, wire.Condition{Key: WordKey, Version: 13}, wire.Condition{Key: NodePrefix + "n0", Version: 11}, wire.Condition{Key: NodePrefix + "n1", Version: 12})
+			want = append(want, wire.Condition{Key: OperatorRequestKey, Version: 13}, wire.Condition{Key: ControllerPrefix + "n0", Version: 11}, wire.Condition{Key: ControllerPrefix + "n1", Version: 12})
 		}
 		if !slices.Equal(out[0].Txn.If, want) {
 			t.Errorf("raise %v: conditions %v", raise, out[0].Txn.If)
@@ -63,10 +63,10 @@
 // went back in the moment of the raise may still have users, and could not read
 // them. A record whose envelope does not fit is stored without.
 func TestEnvelopesWaitForAll(t *testing.T) {
-	for _, confirmed := range []gate.Level{1, 2} {
+	for _, confirmed := range []feature.Level{1, 2} {
 		c, now := newCore(t, []config.Team{{Name: "free"}}, levelled(2, confirmed))
 		job := wire.Job{ID: "wk-000001", Team: "free", Shape: wire.Array, Priority: "standard", Tasks: 1, CPUs: 1}
-		out := txns(c.Step(now.Add(time.Second), step.SubmitIn{Req: 1, Job: job}), jobPrefix+job.ID)
+		out := txns(c.Step(now.Add(time.Second), eventloop.SubmitRequest{Req: 1, Job: job}), jobPrefix+job.ID)
 		if len(out) != 1 {
 			t.Fatalf("%d writes", len(out))
 		}
@@ -80,7 +80,7 @@
 		if env.Form != wire.EnvelopeForm || env.Generation != 3 {
 			t.Errorf("%+v", env)
 		}
-		out = txns(c.Step(now.Add(2*time.Second), step.Completed{ID: out[0].ID, State: true, Status: 400}), jobPrefix+job.ID)
+		out = txns(c.Step(now.Add(2*time.Second), eventloop.Completion{ID: out[0].ID, FromStateService: true, Status: 400}), jobPrefix+job.ID)
 		if len(out) != 1 {
 			t.Fatal("not tried without its envelope")
 		}
@@ -98,7 +98,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	tooHigh, err := wire.Encode(map[string]any{"form": leasevalue.Form, "level": gate.Newest + 1})
+	tooHigh, err := wire.Encode(map[string]any{"form": leasevalue.Form, "level": feature.Newest + 1})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -112,18 +112,18 @@
 		"wrong kind":            {[]byte{0x93, 1, 2, 3}, false},
 	} {
 		c, now := newCore(t, []config.Team{{Name: "free"}}, wire.LeaseRecord{})
-		c.view.Version = 0 // as after a start
+		c.view.LeaseVersion = 0 // as after a start
 		c.applyPut(leaseKey, v.value, 9)
-		if (c.Refused() != nil) != v.refused || c.Healthy() {
-			t.Errorf("%s: refused %v, healthy %v", name, c.Refused(), c.Healthy())
+		if (c.Incompatible() != nil) != v.refused || c.Healthy() {
+			t.Errorf("%s: refused %v, healthy %v", name, c.Incompatible(), c.Healthy())
 		}
 		for s := range 30 {
-			if out := txns(c.Step(now.Add(time.Duration(s)*time.Second), step.Tick{}), leaseKey); len(out) > 0 {
+			if out := txns(c.Step(now.Add(time.Duration(s)*time.Second), eventloop.Tick{}), leaseKey); len(out) > 0 {
 				t.Fatalf("%s: takes the lead over a value it cannot read", name)
 			}
 		}
-		reply := c.Step(now.Add(31*time.Second), step.PollIn{Req: 1, ID: "wk-000001"})
-		if r, ok := reply[0].(step.Reply); v.refused && (!ok || r.Status != 503 || r.RetryAfter == 0) {
+		reply := c.Step(now.Add(31*time.Second), eventloop.QueryRequest{Req: 1, ID: "wk-000001"})
+		if r, ok := reply[0].(eventloop.Reply); v.refused && (!ok || r.Status != 503 || r.RetryAfter == 0) {
 			t.Errorf("%s: a poll gets %+v", name, reply)
 		}
 	}
--- a/internal/core/controller/meeting_test.go
+++ b/internal/core/controller/meeting_test.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"fawncove/internal/config"
-	"fawncove/internal/core/step"
+	"fawncove/internal/core/eventloop"
 	"fawncove/internal/peerpb"
 	"fawncove/internal/wire"
 )
@@ -18,58 +18,58 @@
 	now   time.Time
 	lease wire.LeaseRecord
 	rev   uint64
-	held  []step.StateTxn // lease writes without an answer, not carried out yet
-	mute  bool            // lease writes get no answer
+	held  []eventloop.StateTxn // lease writes without an answer, not carried out yet
+	mute  bool                 // lease writes get no answer
 	watch uint64
 	ids   []uint64 // calls that get no answer, to be told so in two seconds
 }
 
 // do hands events to the core until it has nothing more to ask.
-func (k *keeper) do(events ...step.Event) {
+func (k *keeper) do(events ...eventloop.Event) {
 	for len(events) > 0 {
 		ev := events[0]
 		events = events[1:]
 		for _, e := range k.c.Step(k.now, ev) {
 			switch e := e.(type) {
-			case step.StateTxn:
+			case eventloop.StateTxn:
 				if _, ok := e.Txn.Then[0].Value.(wire.LeaseRecord); ok && k.mute {
 					k.held, k.ids = append(k.held, e), append(k.ids, e.ID)
 					continue
 				}
 				events = append(events, k.txn(e))
-			case step.StateGet:
+			case eventloop.StateGet:
 				events = append(events, k.get(e))
-			case step.StateRange:
-				events = append(events, step.Completed{ID: e.ID, State: true, Status: 200, Page: wire.Page{Revision: k.rev}})
-			case step.StateWatch:
+			case eventloop.StateRange:
+				events = append(events, eventloop.Completion{ID: e.ID, FromStateService: true, Status: 200, Page: wire.Page{Revision: k.rev}})
+			case eventloop.StateWatch:
 				k.watch = e.ID
 			}
 		}
 	}
 }
 
-func (k *keeper) txn(e step.StateTxn) step.Completed {
+func (k *keeper) txn(e eventloop.StateTxn) eventloop.Completion {
 	for _, c := range e.Txn.If {
 		if c.Key == leaseKey && c.Version != k.rev {
-			return step.Completed{ID: e.ID, State: true, Status: 409, Txn: wire.TxnAnswer{Failed: []string{leaseKey}, Revision: k.rev}}
+			return eventloop.Completion{ID: e.ID, FromStateService: true, Status: 409, Txn: wire.TxnAnswer{Failed: []string{leaseKey}, Revision: k.rev}}
 		}
 	}
 	if rec, ok := e.Txn.Then[0].Value.(wire.LeaseRecord); ok {
 		k.rev++
 		k.lease = rec
 	}
-	return step.Completed{ID: e.ID, State: true, Status: 200, Txn: wire.TxnAnswer{Revision: k.rev}}
+	return eventloop.Completion{ID: e.ID, FromStateService: true, Status: 200, Txn: wire.TxnAnswer{Revision: k.rev}}
 }
 
-func (k *keeper) get(e step.StateGet) step.Completed {
+func (k *keeper) get(e eventloop.StateGet) eventloop.Completion {
 	if e.Key != leaseKey {
-		return step.Completed{ID: e.ID, State: true, Status: 404}
+		return eventloop.Completion{ID: e.ID, FromStateService: true, Status: 404}
 	}
 	raw, err := wire.Encode(k.lease)
 	if err != nil {
 		panic(err)
 	}
-	return step.Completed{ID: e.ID, State: true, Status: 200, Pair: wire.Pair{Key: leaseKey, Value: raw, Version: k.rev}}
+	return eventloop.Completion{ID: e.ID, FromStateService: true, Status: 200, Pair: wire.Pair{Key: leaseKey, Value: raw, Version: k.rev}}
 }
 
 // TestRenewalsOfALateWriteCount: a write of the lease value gets no answer and is
@@ -81,16 +81,16 @@
 		Blocks: map[string]wire.Block{"n0": {Grant: 3 << 16, Incarnation: 7}, "n1": {Grant: 3<<16 + 1, Incarnation: 9, Renewal: 1, Machines: []string{"host-000001"}}}}
 	c, start := newCore(t, []config.Team{{Name: "free"}}, rec)
 	k := &keeper{c: c, now: start, lease: c.view.Lease, rev: 5}
-	renewed := func(n uint64) step.Event {
-		return step.PeerIn{Frame: &peerpb.Frame{From: "n1", Incarnation: 9, StateOk: true, Renewal: &peerpb.Renewal{Node: "n1", Incarnation: 9, Number: n}}}
+	renewed := func(n uint64) eventloop.Event {
+		return eventloop.PeerFrame{Frame: &peerpb.Frame{From: "n1", Incarnation: 9, StateOk: true, Renewal: &peerpb.Renewal{Node: "n1", Incarnation: 9, Number: n}}}
 	}
 	tick := func(d time.Duration) {
 		for end := k.now.Add(d); k.now.Before(end); {
 			k.now = k.now.Add(250 * time.Millisecond)
-			k.do(step.Tick{})
+			k.do(eventloop.Tick{})
 		}
 	}
-	k.do(renewed(2), step.Tick{})
+	k.do(renewed(2), eventloop.Tick{})
 	tick(6 * time.Second)
 	if got := k.lease.Blocks["n1"].Renewal; got != 2 {
 		t.Fatalf("renewal %d is honoured, want 2", got)
@@ -103,7 +103,7 @@
 	if len(k.held) == 0 {
 		t.Fatal("nothing was written")
 	}
-	k.do(step.Completed{ID: k.ids[0], State: true}) // no answer
+	k.do(eventloop.Completion{ID: k.ids[0], FromStateService: true}) // no answer
 	if k.c.lead == nil {
 		t.Fatal("does not lead")
 	}
@@ -116,13 +116,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	k.do(step.Completed{ID: k.watch, State: true, Status: 200, Watch: wire.Changes{Revision: k.rev,
+	k.do(eventloop.Completion{ID: k.watch, FromStateService: true, Status: 200, Changes: wire.Changes{Revision: k.rev,
 		Log: []wire.Change{{Put: leaseKey, Value: raw, Version: k.rev}}}})
 	// Until then its holder may start tasks on its machine.
-	until := sent.Add(c.view.Par.Lease)
+	until := sent.Add(c.view.Params.LeaseDuration)
 	for k.now.Before(until) {
 		if k.now = k.now.Add(250 * time.Millisecond); k.now.Before(until) {
-			k.do(step.Tick{})
+			k.do(eventloop.Tick{})
 		}
 		if _, ok := k.lease.Blocks["n1"]; !ok {
 			t.Fatalf("its block was given away %v before its lease ended", until.Sub(k.now))
@@ -139,50 +139,50 @@
 // known, so workers may be answered only for as long as that allows.
 func TestFreshnessCountsFromTheFirstPage(t *testing.T) {
 	c, start := newCore(t, []config.Team{{Name: "free"}}, wire.LeaseRecord{})
-	c = New(c.view.Cfg, c.view.Par, c.log, 8)
+	c = New(c.view.Settings, c.view.Params, c.log, 8)
 	now := start
 	at := func(d time.Duration) { now = start.Add(d) }
-	ranges := func(effects []step.Effect) (id uint64) {
+	ranges := func(effects []eventloop.Effect) (id uint64) {
 		for _, e := range effects {
-			if r, ok := e.(step.StateRange); ok && r.Prefix == jobPrefix {
+			if r, ok := e.(eventloop.StateRange); ok && r.Prefix == jobPrefix {
 				id = r.ID
 			}
 		}
 		return id
 	}
-	var gets func(effects []step.Effect) (last []step.Effect)
-	gets = func(effects []step.Effect) []step.Effect {
+	var gets func(effects []eventloop.Effect) (last []eventloop.Effect)
+	gets = func(effects []eventloop.Effect) []eventloop.Effect {
 		for _, e := range effects {
-			if g, ok := e.(step.StateGet); ok {
-				return gets(c.Step(now, step.Completed{ID: g.ID, State: true, Status: 404}))
+			if g, ok := e.(eventloop.StateGet); ok {
+				return gets(c.Step(now, eventloop.Completion{ID: g.ID, FromStateService: true, Status: 404}))
 			}
 		}
 		return effects
 	}
-	c.Step(now, step.Tick{})
+	c.Step(now, eventloop.Tick{})
 	at(time.Second)
-	first := ranges(gets(c.Step(now, step.Tick{})))
+	first := ranges(gets(c.Step(now, eventloop.Tick{})))
 	if first == 0 {
 		t.Fatal("no page was asked for")
 	}
 	asked := now
 	at(9 * time.Second)
-	second := ranges(c.Step(now, step.Completed{ID: first, State: true, Status: 200, Page: wire.Page{Revision: 1, More: true,
+	second := ranges(c.Step(now, eventloop.Completion{ID: first, FromStateService: true, Status: 200, Page: wire.Page{Revision: 1, More: true,
 		Pairs: []wire.Pair{{Key: jobPrefix + "wk-000001", Version: 1}}}}))
 	at(18 * time.Second)
-	gets(c.Step(now, step.Completed{ID: second, State: true, Status: 200, Page: wire.Page{Revision: 2}}))
+	gets(c.Step(now, eventloop.Completion{ID: second, FromStateService: true, Status: 200, Page: wire.Page{Revision: 2}}))
 	if !c.loaded {
 		t.Fatal("not read")
 	}
-	w := c.view.Cfg.Cluster.Workers
+	w := c.view.Settings.Cluster.Workers
 	for _, x := range []struct {
 		after  time.Duration
 		status int
 	}{{0, 200}, {config.Seconds(w.CancelS - w.LeaseS), 503}} {
 		now = maxTime(now, asked.Add(x.after))
 		status := 0
-		for _, e := range c.Step(now, step.ReportIn{Req: 1, Report: wire.Heartbeat{Machine: "host-000001", Type: "s4", AgentEpoch: 1, Sequence: 1 + uint64(x.after)}}) {
-			if r, ok := e.(step.Reply); ok {
+		for _, e := range c.Step(now, eventloop.HeartbeatRequest{Req: 1, Heartbeat: wire.Heartbeat{Machine: "host-000001", Type: "s4", AgentEpoch: 1, Sequence: 1 + uint64(x.after)}}) {
+			if r, ok := e.(eventloop.Reply); ok {
 				status = r.Status
 			}
 		}
@@ -211,34 +211,34 @@
 		}
 		return b
 	}
-	put := func(key string, value []byte) step.Event {
-		return step.Completed{State: true, Status: 200, Watch: wire.Changes{Revision: 9, Log: []wire.Change{{Put: key, Value: value, Version: 9}}}}
+	put := func(key string, value []byte) eventloop.Event {
+		return eventloop.Completion{FromStateService: true, Status: 200, Changes: wire.Changes{Revision: 9, Log: []wire.Change{{Put: key, Value: value, Version: 9}}}}
 	}
 	for name, c := range map[string]struct {
-		ev         step.Event
+		ev         eventloop.Event
 		well, away int // the answer's status; 0: there is nothing to answer
 	}{
-		"a submission without an id":       {step.SubmitIn{Req: 1, Err: io.ErrUnexpectedEOF}, 400, 400},
-		"a malformed submission":           {step.SubmitIn{Req: 1, Job: wire.Job{ID: "wk-000009"}, Err: io.ErrUnexpectedEOF}, 400, 503},
-		"a question for an impossible id":  {step.PollIn{Req: 1, ID: "no/such id"}, 404, 404},
-		"a question for an unknown id":     {step.PollIn{Req: 1, ID: "wk-000009"}, 404, 503},
-		"a cancellation of an unknown job": {step.CancelIn{Req: 1, ID: "wk-000009"}, 404, 503},
-		"a report without a machine":       {step.ReportIn{Req: 1, Report: wire.Heartbeat{AgentEpoch: 1}}, 400, 400},
-		"a report without a session":       {step.ReportIn{Req: 1, Report: wire.Heartbeat{Machine: "host-000001"}}, 400, 400},
-		"a report of tasks with bad names": {step.ReportIn{Req: 1, Report: wire.Heartbeat{Machine: "host-000001", AgentEpoch: 1, Sequence: 1, Token: 1 << 42,
+		"a submission without an id":       {eventloop.SubmitRequest{Req: 1, Err: io.ErrUnexpectedEOF}, 400, 400},
+		"a malformed submission":           {eventloop.SubmitRequest{Req: 1, Job: wire.Job{ID: "wk-000009"}, Err: io.ErrUnexpectedEOF}, 400, 503},
+		"a question for an impossible id":  {eventloop.QueryRequest{Req: 1, ID: "no/such id"}, 404, 404},
+		"a question for an unknown id":     {eventloop.QueryRequest{Req: 1, ID: "wk-000009"}, 404, 503},
+		"a cancellation of an unknown job": {eventloop.CancelRequest{Req: 1, ID: "wk-000009"}, 404, 503},
+		"a report without a machine":       {eventloop.HeartbeatRequest{Req: 1, Heartbeat: wire.Heartbeat{AgentEpoch: 1}}, 400, 400},
+		"a report without a session":       {eventloop.HeartbeatRequest{Req: 1, Heartbeat: wire.Heartbeat{Machine: "host-000001"}}, 400, 400},
+		"a report of tasks with bad names": {eventloop.HeartbeatRequest{Req: 1, Heartbeat: wire.Heartbeat{Machine: "host-000001", AgentEpoch: 1, Sequence: 1, Token: 1 << 42,
 			Tasks: []wire.TaskStatus{{Task: "wk-000001"}, {Task: "wk-000001/-1"}, {Task: "/"}, {Task: "wk-000001/99999999999999999999"}}}}, 200, 200},
-		"a frame of nobody":                {step.PeerIn{Frame: &peerpb.Frame{From: "n9"}}, 0, 0},
-		"a frame with names that are none": {step.PeerIn{Frame: &peerpb.Frame{From: "n1", Renewal: &peerpb.Renewal{Node: "n1", Incarnation: 9, Number: 7, Released: "?", SilentMachines: "?", Reconciled: "?", UnknownEndpoints: "?"}}}, 0, 0},
-		"a frame with a view that is none": {step.PeerIn{Frame: &peerpb.Frame{From: "n1", RecoveryView: []byte{0xc1}}}, 0, 0},
-		"an echo that nobody asked for":    {step.PeerIn{Frame: &peerpb.Frame{From: "n1", CancelledRevision: 1, FreshnessRequest: 1 << 60, FreshnessReplies: []*peerpb.FreshnessReply{{To: "n0", Process: 7, Request: 1 << 60}}}}, 0, 0},
-		"an answer to no call":             {step.Completed{ID: 1 << 40, Status: 200, Report: &wire.Heartbeat{}}, 0, 0},
+		"a frame of nobody":                {eventloop.PeerFrame{Frame: &peerpb.Frame{From: "n9"}}, 0, 0},
+		"a frame with names that are none": {eventloop.PeerFrame{Frame: &peerpb.Frame{From: "n1", Renewal: &peerpb.Renewal{Node: "n1", Incarnation: 9, Number: 7, Released: "?", SilentMachines: "?", Reconciled: "?", UnknownEndpoints: "?"}}}, 0, 0},
+		"a frame with a view that is none": {eventloop.PeerFrame{Frame: &peerpb.Frame{From: "n1", RecoveryView: []byte{0xc1}}}, 0, 0},
+		"an echo that nobody asked for":    {eventloop.PeerFrame{Frame: &peerpb.Frame{From: "n1", CancelledRevision: 1, FreshnessRequest: 1 << 60, FreshnessReplies: []*peerpb.FreshnessReply{{To: "n0", Process: 7, Request: 1 << 60}}}}, 0, 0},
+		"an answer to no call":             {eventloop.Completion{ID: 1 << 40, Status: 200, Heartbeat: &wire.Heartbeat{}}, 0, 0},
 		"a stored job that cannot be read": {put(jobPrefix+"wk-000009", []byte{0xc1}), 0, 0},
 		"a stored job under another's key": {put(jobPrefix+"wk-000009", raw(wire.JobRecord{Job: wire.Job{ID: "wk-000008"}})), 0, 0},
 		"a stored end that cannot be read": {put(endPrefix+"wk-000009", []byte{0xc1}), 0, 0},
 		"a lease value that is none":       {put(leaseKey, []byte{0xc1}), 0, 0},
 		"a renewal that is none":           {put(renPrefix+"n1", raw(map[string]string{"pb": "?"})), 0, 0},
 		"a generation that is none":        {put(genKey, []byte{0xc1}), 0, 0},
-		"a level that is none":             {put(WordKey, []byte{0xc1}), 0, 0},
+		"a level that is none":             {put(OperatorRequestKey, []byte{0xc1}), 0, 0},
 	} {
 		for _, away := range []bool{false, true} {
 			c0, start := newCore(t, []config.Team{{Name: "free"}}, wire.LeaseRecord{Term: 3, Leader: "n0", Incarnation: 7, Partitions: map[string]string{"free": "n0"},
@@ -248,38 +248,38 @@
 				want, now = c.away, start.Add(stateSilent)
 			}
 			// handle carries out an event, and answers what it asks of the state service.
-			var handle func(ev step.Event) int
-			handle = func(ev step.Event) (status int) {
+			var handle func(ev eventloop.Event) int
+			handle = func(ev eventloop.Event) (status int) {
 				for _, e := range c0.Step(now, ev) {
 					switch e := e.(type) {
-					case step.Reply:
+					case eventloop.Reply:
 						if status = e.Status; status == 503 && e.RetryAfter == 0 {
 							t.Errorf("%s, away: %v: 503 without when to come back", name, away)
 						}
-					case step.StateTxn:
+					case eventloop.StateTxn:
 						if len(e.Txn.Then) == 0 && !away {
-							status = max(status, handle(step.Completed{ID: e.ID, State: true, Status: 200, Txn: wire.TxnAnswer{Revision: 9}}))
+							status = max(status, handle(eventloop.Completion{ID: e.ID, FromStateService: true, Status: 200, Txn: wire.TxnAnswer{Revision: 9}}))
 						}
-					case step.StateWatch:
+					case eventloop.StateWatch:
 						watch = e.ID
 					}
 				}
 				return status
 			}
-			handle(step.Tick{})
+			handle(eventloop.Tick{})
 			ev := c.ev
-			if d, ok := ev.(step.Completed); ok && d.ID == 0 {
+			if d, ok := ev.(eventloop.Completion); ok && d.ID == 0 {
 				if d.ID = watch; watch == 0 {
 					t.Fatal("no watch is open")
 				}
 				ev = d
 			}
-			jobs, version := len(c0.own.Jobs()), c0.view.Version
+			jobs, version := len(c0.own.Jobs()), c0.view.LeaseVersion
 			if got := handle(ev); got != want {
 				t.Errorf("%s, away: %v: answered %d, want %d", name, away, got, want)
 			}
-			handle(step.Tick{})
-			if len(c0.own.Jobs()) != jobs || c0.view.Version != version || len(c0.ended) > 0 || c0.recovery != nil {
+			handle(eventloop.Tick{})
+			if len(c0.own.Jobs()) != jobs || c0.view.LeaseVersion != version || len(c0.ended) > 0 || c0.recovery != nil {
 				t.Errorf("%s, away: %v: changed what is known", name, away)
 			}
 		}
@@ -307,17 +307,17 @@
 		"of an earlier version":           {func(f *peerpb.Frame) { f.FreshnessReplies = nil }, true, false},
 	} {
 		c0, start := newCore(t, []config.Team{{Name: "free"}}, wire.LeaseRecord{})
-		s := *c0.view.Cfg
+		s := *c0.view.Settings
 		s.Peers = append(s.Peers, config.Peer{HostName: "n2", Area: "x"})
-		core := New(&s, c0.view.Par, c0.log, 7)
+		core := New(&s, c0.view.Params, c0.log, 7)
 		core.loop.Begin(start)
 		core.loaded, core.rev, core.stateOK, core.watching = true, 7, start, true
-		core.own.Known(core.view.Version, start)
+		core.own.ChangesKnown(core.view.LeaseVersion, start)
 		ask, now := uint64(0), start
 		for ask < 2*asksKept {
 			now = now.Add(time.Second)
-			for _, e := range core.Step(now, step.Tick{}) {
-				if p, ok := e.(step.PeerSend); ok {
+			for _, e := range core.Step(now, eventloop.Tick{}) {
+				if p, ok := e.(eventloop.PeerSend); ok {
 					ask = max(ask, p.Frame.FreshnessRequest)
 				}
 			}
@@ -329,13 +329,13 @@
 			}
 			f := &peerpb.Frame{From: from, Incarnation: 9, Generation: 1, CancelledRevision: 7, FreshnessReplies: []*peerpb.FreshnessReply{{To: "n0", Process: 7, Request: ask}}}
 			c.change(f)
-			core.Step(now.Add(5*time.Second), step.PeerIn{Frame: f})
+			core.Step(now.Add(5*time.Second), eventloop.PeerFrame{Frame: f})
 		}
 		// Twenty seconds after the ask, less the margins, counted from the ask.
 		for _, after := range []time.Duration{18 * time.Second, 20 * time.Second} {
 			status, want := 0, c.clear && after < 19*time.Second
-			for _, e := range core.Step(asked.Add(after), step.ReportIn{Req: 1, Report: wire.Heartbeat{Machine: "host-000001", Type: "s4", AgentEpoch: 1, Sequence: uint64(after)}}) {
-				if r, ok := e.(step.Reply); ok {
+			for _, e := range core.Step(asked.Add(after), eventloop.HeartbeatRequest{Req: 1, Heartbeat: wire.Heartbeat{Machine: "host-000001", Type: "s4", AgentEpoch: 1, Sequence: uint64(after)}}) {
+				if r, ok := e.(eventloop.Reply); ok {
 					status = r.Status
 				}
 			}
@@ -367,9 +367,9 @@
 		core, now := newCore(t, []config.Team{{Name: "free"}}, wire.LeaseRecord{Term: 3, Leader: "n1"})
 		core.loop.Begin(now)
 		core.fetchLease(func(int) {})
-		var get step.StateGet
+		var get eventloop.StateGet
 		for _, e := range core.loop.Effects() {
-			if g, ok := e.(step.StateGet); ok {
+			if g, ok := e.(eventloop.StateGet); ok {
 				get = g
 			}
 		}
@@ -380,7 +380,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		core.Step(now.Add(time.Second), step.Completed{ID: get.ID, State: true, Status: c.status, Pair: wire.Pair{Key: leaseKey, Value: raw, Version: c.version}})
+		core.Step(now.Add(time.Second), eventloop.Completion{ID: get.ID, FromStateService: true, Status: c.status, Pair: wire.Pair{Key: leaseKey, Value: raw, Version: c.version}})
 		if lost := core.recovery != nil; lost != c.lost {
 			t.Errorf("%s: takes the state for one that has lost data: %v", name, lost)
 		}
--- a/internal/core/controller/recover.go
+++ b/internal/core/controller/recover.go
@@ -8,11 +8,11 @@
 	"time"
 
 	"fawncove/internal/core/cluster"
-	"fawncove/internal/core/gate"
+	"fawncove/internal/core/eventloop"
+	"fawncove/internal/core/feature"
 	"fawncove/internal/core/leasevalue"
 	"fawncove/internal/core/owner"
-	"fawncove/internal/core/rebuild"
-	"fawncove/internal/core/step"
+	"fawncove/internal/core/recovery"
 	"fawncove/internal/peerpb"
 	"fawncove/internal/wire"
 )
@@ -25,7 +25,7 @@
 
 const (
 	// genKey is where the state's generation is stored, see rebuild.Generation.
-	genKey = rebuild.Key
+	genKey = recovery.Key
 	// joinTime is how long the others get to notice: a watch of theirs is answered.
 	joinTime = cluster.WatchHold + time.Second
 	// recoverPause spaces what is tried again.
@@ -34,8 +34,8 @@
 	rebuildBytes = 40 << 10
 )
 
-// recovery is a rebuild under way.
-type recovery struct {
+// recoveryRun is a recovery of the state under way.
+type recoveryRun struct {
 	gen      uint64 // that has lost data
 	lost     uint64 // the highest revision seen of it
 	foundRev uint64
@@ -50,7 +50,7 @@
 
 // Rebuilding tells whether this controller is rebuilding the state, and whether all
 // that it knew is stored.
-func (c *Core) Rebuilding() (underWay, stored bool) {
+func (c *Core) Recovering() (underWay, stored bool) {
 	return c.recovery != nil, c.recovery != nil && c.recovery.restored
 }
 
@@ -59,7 +59,7 @@
 
 // tellGeneration says in a frame what this controller knows of the state's fate.
 func (c *Core) tellGeneration(f *peerpb.Frame) {
-	if !c.view.Par.Levels.Gated() || (!c.loaded && c.recovery == nil) {
+	if !c.view.Params.Levels.KnowsLevels() || (!c.loaded && c.recovery == nil) {
 		return
 	}
 	f.Generation = c.generation()
@@ -77,9 +77,9 @@
 }
 
 // leases is what this controller knows of leases and machines.
-func (c *Core) leases() rebuild.View {
-	v := rebuild.ViewOf(c.view.Lease)
-	v.Machines, v.Token = c.own.Guests(), c.own.Token()
+func (c *Core) leases() recovery.View {
+	v := recovery.ViewOf(c.view.Lease)
+	v.Machines, v.Token = c.own.ForeignWorkers(), c.own.Token()
 	slices.Sort(v.Machines)
 	return v
 }
@@ -111,11 +111,11 @@
 		f := c.frame()
 		f.Hello = true
 		for _, name := range cluster.SortedKeys(c.view.Peers) {
-			c.loop.Emit(step.PeerSend{To: name, Frame: f})
+			c.loop.Emit(eventloop.PeerSend{To: name, Frame: f})
 		}
 	}
 	for name := range c.view.Peers {
-		if !c.view.LinkUp(name, c.loop.Now) && c.loop.Now.Sub(c.waking.asked) < helloWait {
+		if !c.view.IsReachable(name, c.loop.Now) && c.loop.Now.Sub(c.waking.asked) < helloWait {
 			return
 		}
 	}
@@ -124,7 +124,7 @@
 
 // doubtful tells whether what this process reads is not to be worked with yet.
 func (c *Core) doubtful() bool {
-	if !c.view.Par.Levels.Gated() {
+	if !c.view.Params.Levels.KnowsLevels() {
 		return false
 	}
 	elsewhere := c.lostElsewhere()
@@ -134,7 +134,7 @@
 		c.waking.deserted = c.loop.Now
 	} else if c.loop.Now.Sub(c.waking.deserted) > desertedFor {
 		c.log.Warn("nobody goes on with the rebuild of the state", "generation", c.generation())
-		c.recovery = &recovery{gen: c.generation(), since: c.loop.Now}
+		c.recovery = &recoveryRun{gen: c.generation(), since: c.loop.Now}
 	}
 	return elsewhere || c.gen.Value.Rebuilding || (!c.waking.doubtAt.IsZero() && c.loop.Now.Sub(c.waking.doubtAt) < doubtFor)
 }
@@ -143,25 +143,25 @@
 // consistent, so what it answers is never older than what it had answered when the
 // request went out: unless it has lost something. An outage, a refusal, a slow or
 // late answer all show nothing of the kind.
-func (c *Core) witness(d *step.Completed) {
-	if !d.State || (d.Status != 200 && d.Status != 409) {
+func (c *Core) witness(d *eventloop.Completion) {
+	if !d.FromStateService || (d.Status != 200 && d.Status != 409) {
 		return
 	}
 	if d.Pair.Key != "" { // what was read, not when: only that it was there by then
 		c.high = max(c.high, d.Pair.Version)
-		c.loop.Mark = c.high
+		c.loop.Generation = c.high
 		return
 	}
-	rev := max(d.Txn.Revision, d.Page.Revision, d.Watch.Revision)
-	if mark := c.loop.Marked(d.ID); rev < mark {
+	rev := max(d.Txn.Revision, d.Page.Revision, d.Changes.Revision)
+	if mark := c.loop.CallGeneration(d.ID); rev < mark {
 		if !c.loaded && c.recovery == nil {
-			c.waking.doubtAt, c.high, c.loop.Mark = c.loop.Now, 0, 0
+			c.waking.doubtAt, c.high, c.loop.Generation = c.loop.Now, 0, 0
 		}
 		c.lose("its revisions went back", mark, rev)
 		return
 	}
 	c.high = max(c.high, rev)
-	c.loop.Mark = c.high
+	c.loop.Generation = c.high
 }
 
 // lose notes that the state has lost data and begins to rebuild it.
@@ -170,7 +170,7 @@
 		if !r.since.Equal(c.loop.Now) {
 			r.restored, r.marked, r.since = false, false, c.loop.Now
 		}
-		c.high, c.loop.Mark = 0, 0
+		c.high, c.loop.Generation = 0, 0
 		return
 	}
 	if !c.mayRebuild() {
@@ -178,8 +178,8 @@
 	}
 	c.log.Error("the state has lost data", "why", why, "seen", seen, "found", found, "generation", c.generation(),
 		"jobs", len(c.own.Jobs()), "ends", len(c.ended))
-	c.recovery = &recovery{gen: c.generation(), lost: seen, foundRev: found, since: c.loop.Now}
-	c.high, c.loop.Mark = 0, 0
+	c.recovery = &recoveryRun{gen: c.generation(), lost: seen, foundRev: found, since: c.loop.Now}
+	c.high, c.loop.Generation = 0, 0
 	c.giveUp()
 	for rank, queue := range c.verify.queue {
 		c.verify.queue[rank] = nil
@@ -194,11 +194,11 @@
 // mayRebuild tells whether this controller knows the state and all others that it
 // has heard can follow; one of an earlier version would go on by what is gone.
 func (c *Core) mayRebuild() bool {
-	if !c.view.Par.Levels.Gated() || c.refused != nil || c.leaving || (!c.loaded && len(c.kept.Jobs)+len(c.kept.Ends) == 0) {
+	if !c.view.Params.Levels.KnowsLevels() || c.refused != nil || c.leaving || (!c.loaded && len(c.kept.Jobs)+len(c.kept.Ends) == 0) {
 		return false
 	}
 	for name, p := range c.view.Peers {
-		if p.Generation == 0 && c.view.LinkUp(name, c.loop.Now) {
+		if p.Generation == 0 && c.view.IsReachable(name, c.loop.Now) {
 			return false
 		}
 	}
@@ -208,24 +208,24 @@
 // heardOfLoss acts on what another controller tells of the state: that it has lost
 // data, or that it has been rebuilt without this controller.
 func (c *Core) heardOfLoss(p *cluster.Peer, view []byte) {
-	p.View = nil
+	p.RecoveryView = nil
 	if len(view) > 0 {
-		v := new(rebuild.View)
+		v := new(recovery.View)
 		if err := wire.Decode(view, v); err != nil {
 			c.log.Error("another controller's view of the leases", "err", err)
 		} else {
-			p.View = v
+			p.RecoveryView = v
 		}
 	}
-	if c.recovery == nil && c.waking.genRead && p.Generation == c.generation() && !p.Lost {
+	if c.recovery == nil && c.waking.genRead && p.Generation == c.generation() && !p.StateLost {
 		c.high = max(c.high, p.Revision) // what is asked from now on shows as much
-		c.loop.Mark = c.high
+		c.loop.Generation = c.high
 	}
 	switch {
 	case c.recovery != nil || !c.loaded || p.Generation == 0:
-	case p.Lost && p.Generation == c.generation():
+	case p.StateLost && p.Generation == c.generation():
 		c.lose("another controller says so", c.high, 0)
-	case !p.Lost && p.Generation > c.generation():
+	case !p.StateLost && p.Generation > c.generation():
 		c.lose("it was rebuilt without this controller", c.high, 0)
 	}
 }
@@ -234,7 +234,7 @@
 // was read here: a process that has just started has nothing to add, and waits.
 func (c *Core) lostElsewhere() bool {
 	for name, p := range c.view.Peers {
-		if p.Lost && p.Generation >= c.generation() && c.view.LinkUp(name, c.loop.Now) {
+		if p.StateLost && p.Generation >= c.generation() && c.view.IsReachable(name, c.loop.Now) {
 			return true
 		}
 	}
@@ -243,7 +243,7 @@
 
 // readGeneration reads the state's generation.
 func (c *Core) readGeneration(then func(status int)) {
-	c.loop.Emit(step.StateGet{Key: genKey, ID: c.loop.Call(func(d step.Completed) {
+	c.loop.Emit(eventloop.StateGet{Key: genKey, ID: c.loop.Call(func(d eventloop.Completion) {
 		if d.Status == 200 {
 			c.applyGeneration(d.Pair.Value, d.Pair.Version)
 		}
@@ -257,7 +257,7 @@
 	if version <= c.gen.Version {
 		return
 	}
-	g, err := rebuild.Decode(value)
+	g, err := recovery.Decode(value)
 	if err != nil {
 		c.log.Error("generation", "err", err)
 		return
@@ -271,16 +271,16 @@
 		}
 	}
 	if c.recovery == nil { // else it is what recover compares with
-		c.gen = cluster.Stored[rebuild.Generation]{Value: g, Version: version}
+		c.gen = cluster.Stored[recovery.Generation]{Value: g, Version: version}
 	}
 }
 
 // memory is what this controller knows, and still knows of before a rebuild.
-func (c *Core) memory() rebuild.Memory {
-	m := rebuild.Memory{Jobs: c.own.Records(), Ends: maps.Clone(c.ended), Facts: c.own.Facts()}
+func (c *Core) memory() recovery.KnownState {
+	m := recovery.KnownState{Jobs: c.own.Records(), Ends: maps.Clone(c.ended), CompletedTasks: c.own.CompletedTasks()}
 	join(m.Jobs, c.kept.Jobs)
 	join(m.Ends, c.kept.Ends)
-	join(m.Facts, c.kept.Facts)
+	join(m.CompletedTasks, c.kept.CompletedTasks)
 	return m
 }
 
@@ -297,20 +297,20 @@
 func (c *Core) recover() {
 	r := c.recovery
 	c.ping()
-	c.own.Check()
+	c.own.CheckMachines()
 	if r.busy || c.loop.Now.Before(r.next) || (r.marked && c.loop.Now.Sub(r.since) < joinTime) {
 		return
 	}
 	r.busy = true
 	done := func() { r.busy, r.next = false, c.loop.Now.Add(recoverPause) }
 	// By a range, as that tells the revision too: what is lost once more is noticed.
-	c.loop.Emit(step.StateRange{Prefix: genKey, ID: c.loop.Call(func(d step.Completed) {
-		var g rebuild.Generation
+	c.loop.Emit(eventloop.StateRange{Prefix: genKey, ID: c.loop.Call(func(d eventloop.Completion) {
+		var g recovery.Generation
 		version := uint64(0)
 		for _, p := range d.Page.Pairs {
 			version = p.Version
 			var err error
-			if g, err = rebuild.Decode(p.Value); err != nil {
+			if g, err = recovery.Decode(p.Value); err != nil {
 				c.log.Error("generation", "err", err)
 				done()
 				return
@@ -353,20 +353,20 @@
 
 // mark says in the state that it is being rebuilt.
 func (c *Core) mark(version uint64, then func()) {
-	g := rebuild.Generation{Form: rebuild.GenerationForm, Generation: c.recovery.gen, Rebuilding: true, By: c.view.Me, AtMs: c.loop.Now.UnixMilli()}
-	c.loop.Emit(step.StateTxn{Control: true, ID: c.loop.Call(func(step.Completed) { then() }),
+	g := recovery.Generation{Form: recovery.GenerationForm, Generation: c.recovery.gen, Rebuilding: true, Controller: c.view.Self, RecoveredAtMs: c.loop.Now.UnixMilli()}
+	c.loop.Emit(eventloop.StateTxn{LeaseBudget: true, ID: c.loop.Call(func(eventloop.Completion) { then() }),
 		Txn: wire.Txn{If: []wire.Condition{{Key: genKey, Version: version}}, Then: []wire.Op{{Put: genKey, Value: g}}}})
 }
 
 // mayAdd tells whether records may come into a state that others work with already:
 // only in an envelope does a record say that its tasks may have been started.
-func (c *Core) mayAdd() bool { return c.view.Open(gate.Envelope) }
+func (c *Core) mayAdd() bool { return c.view.FeatureOpen(feature.Envelope) }
 
 // rebuilders calls f for each controller in reach that rebuilds the same
 // generation, in the order of their names.
 func (c *Core) rebuilders(f func(name string, p *cluster.Peer)) {
 	for _, name := range cluster.SortedKeys(c.view.Peers) {
-		if p := c.view.Peers[name]; p.Lost && p.Generation == c.recovery.gen && c.view.LinkUp(name, c.loop.Now) {
+		if p := c.view.Peers[name]; p.StateLost && p.Generation == c.recovery.gen && c.view.IsReachable(name, c.loop.Now) {
 			f(name, p)
 		}
 	}
@@ -375,7 +375,7 @@
 // myTurn tells whether all rebuilders before this one have stored what they knew.
 func (c *Core) myTurn() bool {
 	turn := true
-	c.rebuilders(func(name string, p *cluster.Peer) { turn = turn && (name > c.view.Me || p.Restored) })
+	c.rebuilders(func(name string, p *cluster.Peer) { turn = turn && (name > c.view.Self || p.StateRestored) })
 	return turn
 }
 
@@ -383,24 +383,24 @@
 // them have stored what they knew. Should two think so, the state decides.
 func (c *Core) chosen() bool {
 	first := true
-	c.rebuilders(func(name string, p *cluster.Peer) { first = first && name > c.view.Me && p.Restored })
+	c.rebuilders(func(name string, p *cluster.Peer) { first = first && name > c.view.Self && p.StateRestored })
 	return first
 }
 
 // state is what the state service holds, as a rebuild reads it.
 type state struct {
-	found      rebuild.Found
+	found      recovery.StoredState
 	lease      wire.LeaseRecord
 	version    uint64 // of the lease value; 0: there is none
-	gen        rebuild.Generation
+	gen        recovery.Generation
 	genVersion uint64
 	pages      map[string]bool // keys of completed tasks
-	book       leasevalue.Book
+	book       leasevalue.PageTable
 }
 
 // readState reads everything; then gets nil if that failed.
 func (c *Core) readState(then func(s *state)) {
-	s := &state{pages: map[string]bool{}, found: rebuild.Found{Jobs: map[string]uint64{}, Ends: map[string]rebuild.End{}, Facts: map[string][]byte{}}}
+	s := &state{pages: map[string]bool{}, found: recovery.StoredState{Jobs: map[string]uint64{}, Ends: map[string]recovery.StoredEnd{}, CompletedTasks: map[string][]byte{}}}
 	var lease []byte
 	take := func(p wire.Pair) {
 		if id, ok := strings.CutPrefix(p.Key, jobPrefix); ok {
@@ -410,15 +410,15 @@
 			if err := wire.Decode(p.Value, &e); err != nil {
 				c.log.Error("end record", "key", p.Key, "err", err)
 			}
-			s.found.Ends[id] = rebuild.End{State: e.State, Version: p.Version}
+			s.found.Ends[id] = recovery.StoredEnd{State: e.State, Version: p.Version}
 		} else if strings.HasPrefix(p.Key, owner.PagePrefix) {
 			s.pages[p.Key] = true
-			facts, err := c.own.PageFacts(p.Key, p.Value)
+			facts, err := c.own.ParsePage(p.Key, p.Value)
 			if err != nil {
 				c.log.Error("page of completed tasks", "key", p.Key, "err", err)
 			}
 			for entry, raw := range facts { // several pages may tell of the same tasks
-				s.found.Facts[entry] = owner.Merge(s.found.Facts[entry], raw)
+				s.found.CompletedTasks[entry] = owner.MergeCompleted(s.found.CompletedTasks[entry], raw)
 			}
 		} else if strings.HasPrefix(p.Key, leasevalue.PagePrefix) {
 			if _, err := s.book.ReadPage(p.Key, p.Value); err != nil {
@@ -429,14 +429,14 @@
 		} else if p.Key == genKey {
 			s.genVersion = p.Version
 			var err error
-			if s.gen, err = rebuild.Decode(p.Value); err != nil {
+			if s.gen, err = recovery.Decode(p.Value); err != nil {
 				c.log.Error("generation", "err", err)
 			}
 		}
 	}
 	var read func(prefixes []string, after string)
 	read = func(prefixes []string, after string) {
-		c.loop.Emit(step.StateRange{Prefix: prefixes[0], After: after, ID: c.loop.Call(func(d step.Completed) {
+		c.loop.Emit(eventloop.StateRange{Prefix: prefixes[0], After: after, ID: c.loop.Call(func(d eventloop.Completion) {
 			if d.Status != 200 {
 				then(nil)
 				return
@@ -470,15 +470,15 @@
 // missing any more.
 func (c *Core) restore(s *state, then func()) {
 	r, m := c.recovery, c.memory()
-	st := c.view.Cfg.Cluster.State
-	txns, jobs, ends, err := rebuild.Missing(&m, &s.found, rebuild.Keys{Job: jobPrefix, End: endPrefix},
-		rebuild.Limits{Ops: st.TxnOps, Bytes: rebuildBytes})
+	st := c.view.Settings.Cluster.State
+	txns, jobs, ends, err := recovery.MissingWrites(&m, &s.found, recovery.Keys{Job: jobPrefix, End: endPrefix},
+		recovery.Limits{Ops: st.TxnOps, Bytes: rebuildBytes})
 	if err != nil {
 		c.log.Error("rebuilding", "err", err)
 		return
 	}
 	n := 0
-	for _, entries := range rebuild.Entries(&m, &s.found, c.own.PageBytes()) {
+	for _, entries := range recovery.CompletedTaskPages(&m, &s.found, c.own.PageBytes()) {
 		for s.pages[c.factPage(n)] {
 			n++
 		}
@@ -496,7 +496,7 @@
 	var write func()
 	write = func() {
 		t := txns[0]
-		c.loop.Emit(step.StateTxn{Txn: t, ID: c.loop.Call(func(d step.Completed) {
+		c.loop.Emit(eventloop.StateTxn{Txn: t, ID: c.loop.Call(func(d eventloop.Completion) {
 			if c.recovery != r {
 				return
 			}
@@ -515,7 +515,7 @@
 // factPage is where this controller stores page n of completed tasks that it knew
 // of: beside the pages of its processes, which count from 0.
 func (c *Core) factPage(n int) string {
-	return owner.PagePrefix + c.view.Me + "/" + strconv.Itoa(500+n)
+	return owner.PagePrefix + c.view.Self + "/" + strconv.Itoa(500+n)
 }
 
 // renewLease writes the lease value and the generation that the state goes on with.
@@ -524,37 +524,37 @@
 	if s.gen.Generation > r.gen {
 		return // somebody else has; the next look sees it
 	}
-	c.hold.Outgrow(max(s.lease.Incarnation, s.lease.Blocks[c.view.Me].Incarnation, c.view.Lease.Blocks[c.view.Me].Incarnation))
+	c.hold.RaiseIncarnation(max(s.lease.Incarnation, s.lease.Blocks[c.view.Self].Incarnation, c.view.Lease.Blocks[c.view.Self].Incarnation))
 	// A machine that only the newest value names may run tasks already, and whoever
 	// has read that value need not be the one who rebuilds.
-	own, found := c.leases(), rebuild.ViewOf(s.lease)
-	views := []*rebuild.View{&own, &found}
+	own, found := c.leases(), recovery.ViewOf(s.lease)
+	views := []*recovery.View{&own, &found}
 	c.rebuilders(func(_ string, p *cluster.Peer) {
-		if p.View != nil {
-			views = append(views, p.View)
+		if p.RecoveryView != nil {
+			views = append(views, p.RecoveryView)
 		}
 	})
-	rec := rebuild.Lease(c.view.Me, c.hold.Incarnation(), r.gen+1, func(team string) wire.Share {
+	rec := recovery.MergeLease(c.view.Self, c.hold.Incarnation(), r.gen+1, func(team string) wire.Share {
 		l := c.view.LimitOf(team)
-		return wire.Share{CPUs: int(l.CPUs), GPUs: int(l.Cards)}
+		return wire.Share{CPUs: int(l.CPUs), GPUs: int(l.GPUs)}
 	}, views...)
 	ops := []wire.Op{{Put: leaseKey, Value: rec}}
 	if rec.Form >= 2 {
-		draft, err := s.book.Write(&rec, c.view.Cfg.ValueLimits())
+		draft, err := s.book.Write(&rec, c.view.Settings.ValueLimits())
 		if err != nil {
 			c.log.Error("lease value", "err", err)
 			return
 		}
 		ops = draft.Ops
 	}
-	g := rebuild.Generation{Form: rebuild.GenerationForm, Generation: r.gen + 1, By: c.view.Me, Lost: r.lost, Found: r.foundRev,
-		Jobs: r.jobs, Ends: r.ends, AtMs: c.loop.Now.UnixMilli(), TookMs: c.loop.Now.Sub(r.since).Milliseconds(),
-		Machines: len(rec.Blocks[c.view.Me].Unreconciled)}
+	g := recovery.Generation{Form: recovery.GenerationForm, Generation: r.gen + 1, Controller: c.view.Self, RevisionSeen: r.lost, RevisionFound: r.foundRev,
+		Jobs: r.jobs, Ends: r.ends, RecoveredAtMs: c.loop.Now.UnixMilli(), TookMs: c.loop.Now.Sub(r.since).Milliseconds(),
+		Machines: len(rec.Blocks[c.view.Self].Unreconciled)}
 	ops = append(ops, wire.Op{Put: genKey, Value: g})
 	r.busy = true
-	c.loop.Emit(step.StateTxn{Control: true,
+	c.loop.Emit(eventloop.StateTxn{LeaseBudget: true,
 		Txn: wire.Txn{If: []wire.Condition{{Key: leaseKey, Version: s.version}, {Key: genKey, Version: s.genVersion}}, Then: ops},
-		ID: c.loop.Call(func(d step.Completed) {
+		ID: c.loop.Call(func(d eventloop.Completion) {
 			r.busy, r.next = false, c.loop.Now.Add(recoverPause)
 			if d.Status == 200 && c.recovery == r {
 				c.log.Info("state rebuilt", "generation", g.Generation, "jobs", g.Jobs, "ends", g.Ends, "machines", g.Machines,
@@ -568,12 +568,12 @@
 // kept until all has been read, should the state lose data once more.
 func (c *Core) beginAnew() {
 	kept, old := c.memory(), *c
-	c.loop.Forget()
+	c.loop.DropCalls()
 	*c = Core{loop: c.loop, kept: kept, leaving: old.leaving, steppedAt: old.steppedAt, stateOK: old.stateOK}
-	c.loop.Mark = 0
-	view := cluster.New(old.view.Cfg, old.view.Par)
-	view.Types = old.view.Types
+	c.loop.Generation = 0
+	view := cluster.New(old.view.Settings, old.view.Params)
+	view.MachineTypes = old.view.MachineTypes
 	c.begin(view, old.log, old.hold.Incarnation()+1)
-	c.own.Tally = old.own.Tally
+	c.own.Served = old.own.Served
 	c.load()
 }
--- a/internal/core/controller/verify_test.go
+++ b/internal/core/controller/verify_test.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"fawncove/internal/config"
-	"fawncove/internal/core/step"
+	"fawncove/internal/core/eventloop"
 	"fawncove/internal/wire"
 )
 
@@ -14,29 +14,29 @@
 type asked struct {
 	*Core
 	now  time.Time
-	said map[uint64]step.Reply // replies by request
+	said map[uint64]eventloop.Reply // replies by request
 }
 
 func newAsked(t *testing.T) *asked {
 	c, now := newCore(t, []config.Team{{Name: "free"}}, wire.LeaseRecord{Term: 3, Leader: "n1",
 		Blocks: map[string]wire.Block{"n0": {Grant: 1 << 18, Incarnation: 7}}, Partitions: map[string]string{"free": "n0"}})
-	return &asked{c, now, map[uint64]step.Reply{}}
+	return &asked{c, now, map[uint64]eventloop.Reply{}}
 }
 
 // step hands over an event and returns the transactions and reads that it brings
 // about for jobs and their ends.
-func (a *asked) step(ev step.Event) (txns []step.StateTxn, gets []step.StateGet) {
+func (a *asked) step(ev eventloop.Event) (txns []eventloop.StateTxn, gets []eventloop.StateGet) {
 	for _, e := range a.Step(a.now, ev) {
 		switch e := e.(type) {
-		case step.StateTxn:
+		case eventloop.StateTxn:
 			if slices.ContainsFunc(e.Txn.If, func(c wire.Condition) bool { return c.Key == jobPrefix+"wk-000001" || c.Key == jobPrefix+"wk-000002" }) {
 				txns = append(txns, e)
 			}
-		case step.StateGet:
+		case eventloop.StateGet:
 			if e.Key == jobPrefix+"wk-000001" || e.Key == endPrefix+"wk-000001" {
 				gets = append(gets, e)
 			}
-		case step.Reply:
+		case eventloop.Reply:
 			a.said[e.Req] = e
 		}
 	}
@@ -48,25 +48,25 @@
 // as soon as it counts as lost.
 func TestLostCheckHoldsUpNobody(t *testing.T) {
 	a := newAsked(t)
-	lost, _ := a.step(step.PollIn{Req: 1, ID: "wk-000001"})
+	lost, _ := a.step(eventloop.QueryRequest{Req: 1, ID: "wk-000001"})
 	if len(lost) != 1 {
 		t.Fatalf("%d checks", len(lost))
 	}
 	a.now = a.now.Add(a.verifyEvery())
-	own, _ := a.step(step.PollIn{Req: 2, ID: "wk-000002"})
+	own, _ := a.step(eventloop.QueryRequest{Req: 2, ID: "wk-000002"})
 	if len(own) != 1 {
 		t.Fatalf("%d checks behind one without an answer", len(own))
 	}
-	a.step(step.Completed{ID: own[0].ID, State: true, Status: 200})
+	a.step(eventloop.Completion{ID: own[0].ID, FromStateService: true, Status: 200})
 	if a.said[2].Status != 404 || a.said[1].Status != 0 {
 		t.Errorf("answered %v", a.said)
 	}
 	a.now = a.now.Add(a.verifyEvery())
-	again, _ := a.step(step.Completed{ID: lost[0].ID, State: true})
+	again, _ := a.step(eventloop.Completion{ID: lost[0].ID, FromStateService: true})
 	if len(again) != 1 {
 		t.Fatalf("%d checks after a lost answer", len(again))
 	}
-	a.step(step.Completed{ID: again[0].ID, State: true, Status: 200})
+	a.step(eventloop.Completion{ID: again[0].ID, FromStateService: true, Status: 200})
 	if a.said[1].Status != 404 {
 		t.Errorf("answered %v", a.said)
 	}
@@ -77,17 +77,17 @@
 func TestConflictOfAnotherJob(t *testing.T) {
 	a := newAsked(t)
 	a.verify.next = a.now.Add(a.verifyEvery()) // so that both go out together
-	a.step(step.PollIn{Req: 1, ID: "wk-000001"})
-	a.step(step.PollIn{Req: 2, ID: "wk-000002"})
+	a.step(eventloop.QueryRequest{Req: 1, ID: "wk-000001"})
+	a.step(eventloop.QueryRequest{Req: 2, ID: "wk-000002"})
 	a.now = a.verify.next
-	both, _ := a.step(step.Tick{})
+	both, _ := a.step(eventloop.Tick{})
 	if len(both) != 1 {
 		t.Fatalf("%d checks", len(both))
 	}
-	a.step(step.PollIn{Req: 3, ID: "wk-000003"})
+	a.step(eventloop.QueryRequest{Req: 3, ID: "wk-000003"})
 	// Of a job that has come since its record is read, and nothing else.
 	a.now = a.verify.next
-	again, gets := a.step(step.Completed{ID: both[0].ID, State: true, Status: 409, Txn: wire.TxnAnswer{Failed: []string{jobPrefix + "wk-000001"}}})
+	again, gets := a.step(eventloop.Completion{ID: both[0].ID, FromStateService: true, Status: 409, Txn: wire.TxnAnswer{Failed: []string{jobPrefix + "wk-000001"}}})
 	if len(gets) != 1 || gets[0].Key != jobPrefix+"wk-000001" || len(again) != 1 {
 		t.Fatalf("reads %v, %d checks after a conflict", gets, len(again))
 	}
@@ -96,7 +96,7 @@
 			t.Error("what was asked since goes into the same check")
 		}
 	}
-	a.step(step.Completed{ID: again[0].ID, State: true, Status: 200})
+	a.step(eventloop.Completion{ID: again[0].ID, FromStateService: true, Status: 200})
 	if a.said[2].Status != 404 || a.said[1].Status != 0 {
 		t.Errorf("answered %v", a.said)
 	}
@@ -106,8 +106,8 @@
 // out and its answer lost. What is there is read at once, and tells the user.
 func TestLostAnswerToAUser(t *testing.T) {
 	rec := wire.JobRecord{Job: wire.Job{ID: "wk-000001", Team: "free", Shape: wire.Array, Priority: "standard", Tasks: 2, CPUs: 2}, Owner: "n0"}
-	read := func(a *asked, g step.StateGet, v any) (gets []step.StateGet) {
-		d := step.Completed{ID: g.ID, State: true, Status: 404}
+	read := func(a *asked, g eventloop.StateGet, v any) (gets []eventloop.StateGet) {
+		d := eventloop.Completion{ID: g.ID, FromStateService: true, Status: 404}
 		if v != nil {
 			raw, err := wire.Encode(v)
 			if err != nil {
@@ -119,8 +119,8 @@
 		return gets
 	}
 	a := newAsked(t)
-	txns, _ := a.step(step.SubmitIn{Req: 1, Job: rec.Job})
-	_, gets := a.step(step.Completed{ID: txns[0].ID, State: true})
+	txns, _ := a.step(eventloop.SubmitRequest{Req: 1, Job: rec.Job})
+	_, gets := a.step(eventloop.Completion{ID: txns[0].ID, FromStateService: true})
 	if len(gets) != 1 {
 		t.Fatalf("%d reads after a submission without an answer", len(gets))
 	}
@@ -132,14 +132,14 @@
 		t.Errorf("submission: %+v", a.said[1])
 	}
 	a.now = a.now.Add(time.Second)
-	txns, _ = a.step(step.CancelIn{Req: 2, ID: "wk-000001"})
+	txns, _ = a.step(eventloop.CancelRequest{Req: 2, ID: "wk-000001"})
 	for len(txns) > 0 && len(txns[0].Txn.Then) == 0 { // that it is not over
-		txns, _ = a.step(step.Completed{ID: txns[0].ID, State: true, Status: 200, Txn: wire.TxnAnswer{Revision: 9}})
+		txns, _ = a.step(eventloop.Completion{ID: txns[0].ID, FromStateService: true, Status: 200, Txn: wire.TxnAnswer{Revision: 9}})
 	}
 	if len(txns) != 1 {
 		t.Fatalf("%d cancellations", len(txns))
 	}
-	_, gets = a.step(step.Completed{ID: txns[0].ID, State: true})
+	_, gets = a.step(eventloop.Completion{ID: txns[0].ID, FromStateService: true})
 	if len(gets) != 1 {
 		t.Fatalf("%d reads after a cancellation without an answer", len(gets))
 	}
@@ -149,8 +149,8 @@
 	}
 	// Not there: nobody is told anything but to come back.
 	b := newAsked(t)
-	txns, _ = b.step(step.SubmitIn{Req: 1, Job: rec.Job})
-	_, gets = b.step(step.Completed{ID: txns[0].ID, State: true})
+	txns, _ = b.step(eventloop.SubmitRequest{Req: 1, Job: rec.Job})
+	_, gets = b.step(eventloop.Completion{ID: txns[0].ID, FromStateService: true})
 	for len(gets) > 0 {
 		gets = read(b, gets[0], nil)
 	}
@@ -165,11 +165,11 @@
 	a := newAsked(t)
 	a.verify.next = a.now.Add(a.verifyEvery())
 	for req := range uint64(10) {
-		a.step(step.PollIn{Req: req + 1, ID: "wk-000001"})
+		a.step(eventloop.QueryRequest{Req: req + 1, ID: "wk-000001"})
 	}
 	a.now = a.verify.next
-	check, _ := a.step(step.Tick{})
-	_, gets := a.step(step.Completed{ID: check[0].ID, State: true, Status: 409, Txn: wire.TxnAnswer{Failed: []string{jobPrefix + "wk-000001"}}})
+	check, _ := a.step(eventloop.Tick{})
+	_, gets := a.step(eventloop.Completion{ID: check[0].ID, FromStateService: true, Status: 409, Txn: wire.TxnAnswer{Failed: []string{jobPrefix + "wk-000001"}}})
 	if len(gets) != 1 {
 		t.Fatalf("%d readings for 10 who ask", len(gets))
 	}
@@ -177,7 +177,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	a.step(step.Completed{ID: gets[0].ID, State: true, Status: 200, Pair: wire.Pair{Key: gets[0].Key, Value: raw, Version: 9}})
+	a.step(eventloop.Completion{ID: gets[0].ID, FromStateService: true, Status: 200, Pair: wire.Pair{Key: gets[0].Key, Value: raw, Version: 9}})
 	for req := range uint64(10) {
 		if a.said[req+1].Status != 200 {
 			t.Errorf("request %d is answered %d", req+1, a.said[req+1].Status)
@@ -192,24 +192,24 @@
 	rec := wire.JobRecord{Job: wire.Job{ID: "wk-000001", Team: "free", Shape: wire.Array, Priority: "standard", Tasks: 2, CPUs: 2}, Owner: "n1"}
 	for _, known := range []bool{true, false} {
 		a := newAsked(t)
-		txns, _ := a.step(step.SubmitIn{Req: 1, Job: rec.Job})
-		txns, _ = a.step(step.Completed{ID: txns[0].ID, State: true, Status: 400})
+		txns, _ := a.step(eventloop.SubmitRequest{Req: 1, Job: rec.Job})
+		txns, _ = a.step(eventloop.Completion{ID: txns[0].ID, FromStateService: true, Status: 400})
 		if len(txns) != 1 || a.said[1].Status != 0 {
 			t.Fatalf("%d checks, answered %d", len(txns), a.said[1].Status)
 		}
 		if !known {
-			a.step(step.Completed{ID: txns[0].ID, State: true, Status: 200})
+			a.step(eventloop.Completion{ID: txns[0].ID, FromStateService: true, Status: 200})
 			if a.said[1].Status != 400 {
 				t.Errorf("unknown: %+v", a.said[1])
 			}
 			continue
 		}
-		_, gets := a.step(step.Completed{ID: txns[0].ID, State: true, Status: 409, Txn: wire.TxnAnswer{Failed: []string{jobPrefix + "wk-000001"}}})
+		_, gets := a.step(eventloop.Completion{ID: txns[0].ID, FromStateService: true, Status: 409, Txn: wire.TxnAnswer{Failed: []string{jobPrefix + "wk-000001"}}})
 		raw, err := wire.Encode(rec)
 		if err != nil {
 			t.Fatal(err)
 		}
-		a.step(step.Completed{ID: gets[0].ID, State: true, Status: 200, Pair: wire.Pair{Key: gets[0].Key, Value: raw, Version: 9}})
+		a.step(eventloop.Completion{ID: gets[0].ID, FromStateService: true, Status: 200, Pair: wire.Pair{Key: gets[0].Key, Value: raw, Version: 9}})
 		if a.said[1].Status != 200 {
 			t.Errorf("known: %+v", a.said[1])
 		}
--- a/internal/core/step/step.go
+++ b/internal/core/eventloop/eventloop.go
@@ -1,7 +1,7 @@
-// Package step is what a core without input or output consists of: the events
+// Package eventloop is what a core without input or output consists of: the events
 // that it is handed, the effects that it returns, and the calls among these
 // that it waits for.
-package step
+package eventloop
 
 import (
 	"time"
@@ -16,7 +16,7 @@
 	Now time.Time // when the event happened
 
 	// Mark is noted with each call, see Marked.
-	Mark uint64
+	Generation uint64
 
 	out     []Effect
 	next    uint64
@@ -25,7 +25,7 @@
 
 // pending is an open call.
 type pending struct {
-	f    func(Completed)
+	f    func(Completion)
 	mark uint64
 }
 
@@ -39,18 +39,18 @@
 func (l *Loop) Emit(e Effect) { l.out = append(l.out, e) }
 
 // Call registers f for the completion of an effect and returns its id.
-func (l *Loop) Call(f func(Completed)) uint64 {
+func (l *Loop) Call(f func(Completion)) uint64 {
 	if l.waiting == nil {
 		l.waiting = map[uint64]pending{}
 	}
 	l.next++
-	l.waiting[l.next] = pending{f, l.Mark}
+	l.waiting[l.next] = pending{f, l.Generation}
 	return l.next
 }
 
 // Complete hands a completion to whom it is for. It tells whether anybody
 // still waited.
-func (l *Loop) Complete(d Completed) bool {
+func (l *Loop) Complete(d Completion) bool {
 	p, ok := l.waiting[d.ID]
 	if !ok {
 		return false
@@ -62,13 +62,13 @@
 
 // Marked is the mark that stood when an open call was made; 0 when nobody waits
 // for it.
-func (l *Loop) Marked(id uint64) uint64 { return l.waiting[id].mark }
+func (l *Loop) CallGeneration(id uint64) uint64 { return l.waiting[id].mark }
 
 // Forget drops all open calls: nobody hears of their completion.
-func (l *Loop) Forget() { l.waiting = nil }
+func (l *Loop) DropCalls() { l.waiting = nil }
 
 // Answer answers a request.
-func (l *Loop) Answer(req uint64, status int, body any) {
+func (l *Loop) Reply(req uint64, status int, body any) {
 	l.Emit(Reply{Req: req, Status: status, Body: body})
 }
 
@@ -84,51 +84,51 @@
 type Tick struct{}
 
 // Leave says that this process is to end: it gives up what it holds.
-type Leave struct{}
+type Shutdown struct{}
 
 // ReportIn is a worker's report; its answer is a Reply with the same Req.
-type ReportIn struct {
-	Req    uint64
-	Report wire.Heartbeat
+type HeartbeatRequest struct {
+	Req       uint64
+	Heartbeat wire.Heartbeat
 }
 
 // SubmitIn is a submission; Err says what is wrong with it. Job.ID is set
 // when the id at least is valid.
-type SubmitIn struct {
+type SubmitRequest struct {
 	Req uint64
 	Job wire.Job
 	Err error
 }
 
 // PollIn asks for a job's state.
-type PollIn struct {
+type QueryRequest struct {
 	Req uint64
 	ID  string
 }
 
 // CancelIn cancels a job.
-type CancelIn struct {
+type CancelRequest struct {
 	Req uint64
 	ID  string
 }
 
 // PeerIn is a frame from another controller.
-type PeerIn struct{ Frame *peerpb.Frame }
+type PeerFrame struct{ Frame *peerpb.Frame }
 
 // Completed is the outcome of an effect that carries an ID. Status 0 means no
 // answer: it may have been executed or may yet be.
-type Completed struct {
-	ID     uint64
-	Status int
-	State  bool // the state service was called
-	Txn    wire.TxnAnswer
-	Pair   wire.Pair
-	Page   wire.Page
-	Watch  wire.Changes
-	Types  wire.MachineTypes
-	Names  []string
-	List   wire.MachineList
-	Report *wire.Heartbeat
+type Completion struct {
+	ID               uint64
+	Status           int
+	FromStateService bool // the state service was called
+	Txn              wire.TxnAnswer
+	Pair             wire.Pair
+	Page             wire.Page
+	Changes          wire.Changes
+	Types            wire.MachineTypes
+	Names            []string
+	Machines         wire.MachineList
+	Heartbeat        *wire.Heartbeat
 }
 
 // Effect is something the node has to do.
@@ -146,9 +146,9 @@
 
 // StateTxn runs a transaction.
 type StateTxn struct {
-	ID      uint64
-	Txn     wire.Txn
-	Control bool
+	ID          uint64
+	Txn         wire.Txn
+	LeaseBudget bool
 }
 
 // StateGet reads a key.
@@ -175,13 +175,13 @@
 type CloudTypes struct{ ID uint64 }
 
 // CloudRent rents machines.
-type CloudRent struct {
-	ID   uint64
-	Rent wire.InstanceRequest
+type CloudCreate struct {
+	ID      uint64
+	Request wire.InstanceRequest
 }
 
 // CloudRelease returns machines.
-type CloudRelease struct {
+type CloudDelete struct {
 	ID    uint64
 	Names []string
 }
@@ -194,7 +194,7 @@
 
 // Direct sends commands straight to a worker. Past Until the right to send
 // them has ended.
-type Direct struct {
+type WorkerCommands struct {
 	ID       uint64
 	Endpoint string
 	Body     wire.Commands
--- a/internal/core/gate/gate.go
+++ b/internal/core/feature/feature.go
@@ -1,4 +1,4 @@
-// Package gate is how new behaviour and new stored forms come into a cluster
+// Package feature is how new behaviour and new stored forms come into a cluster
 // whose controllers are replaced one by one.
 //
 // The cluster has a level, which stands in the lease value and so is part of
@@ -15,7 +15,7 @@
 //
 // The package decides and nothing else: it reads no clock, sends nothing, and
 // knows of the state service only what it is handed.
-package gate
+package feature
 
 import "fmt"
 
@@ -36,7 +36,7 @@
 func Current() Range { return Range{Oldest, Newest} }
 
 // Gated tells whether the version knows of levels at all.
-func (r Range) Gated() bool { return r.Newest > 0 }
+func (r Range) KnowsLevels() bool { return r.Newest > 0 }
 
 // Follow returns a LevelError if a version cannot work under a level.
 func (r Range) Follow(l Level) error {
@@ -48,15 +48,15 @@
 
 // LevelError says that a version cannot work under the level of the cluster.
 type LevelError struct {
-	Level Level
-	Can   Range
+	Level     Level
+	Supported Range
 }
 
 func (e LevelError) Error() string {
-	if e.Level > e.Can.Newest {
-		return fmt.Sprintf("the cluster is at level %d, this version follows up to %d: a newer version is needed", e.Level, e.Can.Newest)
+	if e.Level > e.Supported.Newest {
+		return fmt.Sprintf("the cluster is at level %d, this version follows up to %d: a newer version is needed", e.Level, e.Supported.Newest)
 	}
-	return fmt.Sprintf("the cluster is at level %d, this version follows from %d on: a version in between has to be rolled out first", e.Level, e.Can.Oldest)
+	return fmt.Sprintf("the cluster is at level %d, this version follows from %d on: a version in between has to be rolled out first", e.Level, e.Supported.Oldest)
 }
 
 // Gate is a behaviour, or a stored form, that comes with a level.
@@ -86,10 +86,10 @@
 
 // Info describes a gate.
 type Info struct {
-	Name    string
-	Level   Level  // that opens it
-	Waits   bool   // until all have confirmed the level
-	Version string // of the program that brought it
+	Name              string
+	Level             Level  // that opens it
+	NeedsConfirmation bool   // until all have confirmed the level
+	Version           string // of the program that brought it
 }
 
 // Info describes the gate.
@@ -101,7 +101,7 @@
 func table() [2]Info {
 	return [...]Info{
 		LeaseLevel: {Name: "lease-level", Level: 1, Version: "0.2"},
-		Envelope:   {Name: "envelope", Level: 2, Waits: true, Version: "0.2"},
+		Envelope:   {Name: "envelope", Level: 2, NeedsConfirmation: true, Version: "0.2"},
 	}
 }
 
@@ -114,7 +114,7 @@
 // Open tells whether a gate is open.
 func (s State) Open(g Gate) bool {
 	i := g.Info()
-	if i.Waits {
+	if i.NeedsConfirmation {
 		return s.Confirmed >= i.Level
 	}
 	return s.Level >= i.Level
--- a/internal/core/gate/gate_test.go
+++ b/internal/core/feature/feature_test.go
@@ -1,4 +1,4 @@
-package gate
+package feature
 
 import (
 	"fmt"
@@ -10,7 +10,7 @@
 
 // able is a controller that can follow all levels of this version.
 func able(name string) Member {
-	return Member{Name: name, Heard: true, Process: 7, Holder: 7, Told: Told{Process: 7, Levels: Current(), Version: "new"}}
+	return Member{Name: name, Reachable: true, Process: 7, LeaseIncarnation: 7, Announced: Announcement{Incarnation: 7, Levels: Current(), Version: "new"}}
 }
 
 // TestRaiseNeedsEveryController takes one reason after the other away from a
@@ -23,19 +23,19 @@
 		says  string
 	}{
 		"never heard":         {func(m *Member) { *m = Member{Name: m.Name} }, "b was never heard"},
-		"absent":              {func(m *Member) { m.Heard = false }, "b is not heard"},
-		"told nothing":        {func(m *Member) { m.Told = Told{} }, "b has told no level"},
+		"absent":              {func(m *Member) { m.Reachable = false }, "b is not heard"},
+		"told nothing":        {func(m *Member) { m.Announced = Announcement{} }, "b has told no level"},
 		"a new process":       {func(m *Member) { m.Process = 8 }, "b told its level as an earlier process"},
-		"block of another":    {func(m *Member) { m.Holder = 8 }, "b holds its block as an earlier process"},
-		"follows less":        {func(m *Member) { m.Told.Levels.Newest = 0 }, "b version new follows levels 0 to 0 only"},
-		"needs a later level": {func(m *Member) { m.Told.Levels = Range{3, 4} }, "b version new follows levels 3 to 4 only"},
+		"block of another":    {func(m *Member) { m.LeaseIncarnation = 8 }, "b holds its block as an earlier process"},
+		"follows less":        {func(m *Member) { m.Announced.Levels.Newest = 0 }, "b version new follows levels 0 to 0 only"},
+		"needs a later level": {func(m *Member) { m.Announced.Levels = Range{3, 4} }, "b version new follows levels 3 to 4 only"},
 	} {
-		r := Raise{After: time.Second}
+		r := LevelRaiser{Delay: time.Second}
 		bad := able("b")
 		c.spoil(&bad)
 		// As long as the reason lasts neither time nor the operator's word helps.
 		for s := range 5 {
-			next, waits := r.Decide(start.Add(time.Duration(s)*time.Second), State{}, Current(), []Member{able("a"), bad}, Word{Level: Newest})
+			next, waits := r.Decide(start.Add(time.Duration(s)*time.Second), State{}, Current(), []Member{able("a"), bad}, OperatorRequest{TargetLevel: Newest})
 			if next != (State{}) || !strings.Contains(strings.Join(waits, ";"), c.says) {
 				t.Errorf("%s: raised to %+v, waits for %q", name, next, waits)
 			}
@@ -43,21 +43,21 @@
 		// The time counts from when all can, not from before.
 		good := []Member{able("a"), able("b")}
 		at := start.Add(10 * time.Second)
-		if next, _ := r.Decide(at, State{}, Current(), good, Word{}); next != (State{}) {
+		if next, _ := r.Decide(at, State{}, Current(), good, OperatorRequest{}); next != (State{}) {
 			t.Errorf("%s: raised to %+v the moment the reason was gone", name, next)
 		}
-		if next, _ := r.Decide(at.Add(Steady-time.Second), State{}, Current(), good, Word{Level: Newest}); next != (State{}) {
+		if next, _ := r.Decide(at.Add(SettleTime-time.Second), State{}, Current(), good, OperatorRequest{TargetLevel: Newest}); next != (State{}) {
 			t.Errorf("%s: raised to %+v by what may be late frames", name, next)
 		}
-		if next, _ := r.Decide(at.Add(Steady), State{}, Current(), good, Word{}); next.Level != Newest {
+		if next, _ := r.Decide(at.Add(SettleTime), State{}, Current(), good, OperatorRequest{}); next.Level != Newest {
 			t.Errorf("%s: not raised after a while: %+v", name, next)
 		}
 	}
 }
 
 // decide takes a decision every five seconds up to a time, as a leader does.
-func decide(r *Raise, from time.Time, d time.Duration, st State, members []Member, word Word) (State, []string) {
-	for at := time.Duration(0); at < d; at += Steady {
+func decide(r *LevelRaiser, from time.Time, d time.Duration, st State, members []Member, word OperatorRequest) (State, []string) {
+	for at := time.Duration(0); at < d; at += SettleTime {
 		r.Decide(from.Add(at), st, Current(), members, word)
 	}
 	return r.Decide(from.Add(d), st, Current(), members, word)
@@ -69,12 +69,12 @@
 func TestStandstillIsNoConsent(t *testing.T) {
 	start := time.Date(2026, 3, 1, 6, 0, 0, 0, time.UTC)
 	all := []Member{able("a"), able("b")}
-	r := Raise{After: 20 * time.Second}
-	decide(&r, start, 10*time.Second, State{}, all, Word{})
-	if next, _ := r.Decide(start.Add(50*time.Second), State{}, Current(), all, Word{Level: Newest}); next != (State{}) {
+	r := LevelRaiser{Delay: 20 * time.Second}
+	decide(&r, start, 10*time.Second, State{}, all, OperatorRequest{})
+	if next, _ := r.Decide(start.Add(50*time.Second), State{}, Current(), all, OperatorRequest{TargetLevel: Newest}); next != (State{}) {
 		t.Errorf("raised to %+v after a standstill", next)
 	}
-	if next, _ := decide(&r, start.Add(51*time.Second), 20*time.Second, State{}, all, Word{}); next.Level != Newest {
+	if next, _ := decide(&r, start.Add(51*time.Second), 20*time.Second, State{}, all, OperatorRequest{}); next.Level != Newest {
 		t.Errorf("not raised after that: %+v", next)
 	}
 }
@@ -85,21 +85,21 @@
 	now := time.Date(2026, 3, 1, 6, 0, 0, 0, time.UTC)
 	st := State{Level: Newest}
 	a, b := able("a"), able("b")
-	a.Seen, b.Seen = Newest, Newest-1
-	var r Raise
-	next, waits := r.Decide(now, st, Current(), []Member{a, b}, Word{})
+	a.SeenLevel, b.SeenLevel = Newest, Newest-1
+	var r LevelRaiser
+	next, waits := r.Decide(now, st, Current(), []Member{a, b}, OperatorRequest{})
 	if next.Confirmed != 0 || len(waits) != 1 || next.Open(Envelope) || !next.Open(LeaseLevel) {
 		t.Errorf("%+v, waits %q", next, waits)
 	}
-	b.Seen, b.Heard = Newest, false
-	if next, _ := r.Decide(now, st, Current(), []Member{a, b}, Word{}); next.Open(Envelope) {
+	b.SeenLevel, b.Reachable = Newest, false
+	if next, _ := r.Decide(now, st, Current(), []Member{a, b}, OperatorRequest{}); next.Open(Envelope) {
 		t.Error("confirmed by one that is not heard")
 	}
-	b.Heard = true
-	if next, _ := r.Decide(now, st, Current(), []Member{a, b}, Word{}); next.Open(Envelope) {
+	b.Reachable = true
+	if next, _ := r.Decide(now, st, Current(), []Member{a, b}, OperatorRequest{}); next.Open(Envelope) {
 		t.Error("confirmed by what may be a late frame")
 	}
-	if next, _ := r.Decide(now.Add(Steady), st, Current(), []Member{a, b}, Word{}); !next.Open(Envelope) {
+	if next, _ := r.Decide(now.Add(SettleTime), st, Current(), []Member{a, b}, OperatorRequest{}); !next.Open(Envelope) {
 		t.Errorf("not confirmed: %+v", next)
 	}
 }
@@ -111,22 +111,22 @@
 	all := []Member{able("a"), able("b")}
 	for _, c := range []struct {
 		after time.Duration
-		word  Word
+		word  OperatorRequest
 		later time.Duration
 		want  Level
 	}{
-		{0, Word{}, time.Hour, 0},
-		{time.Minute, Word{}, 55 * time.Second, 0},
-		{time.Minute, Word{}, time.Minute, Newest},
-		{time.Minute, Word{Hold: true}, time.Hour, 0},
-		{time.Minute, Word{Hold: true, Level: 1}, time.Hour, 1},
-		{time.Hour, Word{Level: 1, Hold: true}, 2 * Steady, 1},
-		{0, Word{Level: 1}, 0, 0},
-		{0, Word{Level: 1}, Steady, 1},
-		{0, Word{Level: Newest + 5}, Steady, Newest},
+		{0, OperatorRequest{}, time.Hour, 0},
+		{time.Minute, OperatorRequest{}, 55 * time.Second, 0},
+		{time.Minute, OperatorRequest{}, time.Minute, Newest},
+		{time.Minute, OperatorRequest{Hold: true}, time.Hour, 0},
+		{time.Minute, OperatorRequest{Hold: true, TargetLevel: 1}, time.Hour, 1},
+		{time.Hour, OperatorRequest{TargetLevel: 1, Hold: true}, 2 * SettleTime, 1},
+		{0, OperatorRequest{TargetLevel: 1}, 0, 0},
+		{0, OperatorRequest{TargetLevel: 1}, SettleTime, 1},
+		{0, OperatorRequest{TargetLevel: Newest + 5}, SettleTime, Newest},
 	} {
-		r := Raise{After: c.after}
-		decide(&r, now, 0, State{}, all, Word{})
+		r := LevelRaiser{Delay: c.after}
+		decide(&r, now, 0, State{}, all, OperatorRequest{})
 		if next, waits := decide(&r, now, c.later, State{}, all, c.word); next.Level != c.want {
 			t.Errorf("%+v: level %d, waits %q", c, next.Level, waits)
 		}
@@ -160,7 +160,7 @@
 		names[g.Info().Name] = true
 	}
 	for _, f := range Inventory() {
-		row := fmt.Sprintf("| `%s` | %d | %s | %s | %s | %s | %s |", f.Name, f.Form, f.Gate, f.Since, f.Writer, f.Readers, f.Older)
+		row := fmt.Sprintf("| `%s` | %d | %s | %s | %s | %s | %s |", f.Name, f.Form, f.Gate, f.Since, f.Writer, f.Readers, f.OlderVersions)
 		if !strings.Contains(string(page), row) {
 			t.Errorf("docs/upgrades.md lacks\n%s", row)
 		}
--- a/internal/core/gate/inventory.go
+++ b/internal/core/feature/inventory.go
@@ -1,21 +1,21 @@
-package gate
+package feature
 
 // Form is one kind of stored value, or of message between controllers, in one
 // form.
-type Form struct {
-	Name    string // the beginning of the key, or the message
-	Form    int    // what the value or message names as its form; 0: names none
-	Gate    string // that has to be open for it to be written; "": none
-	Since   string // version that writes it first
-	Writer  string
-	Readers string
-	Older   string // what a version does that does not know the form
+type FormInfo struct {
+	Name          string // the beginning of the key, or the message
+	Form          int    // what the value or message names as its form; 0: names none
+	Gate          string // that has to be open for it to be written; "": none
+	Since         string // version that writes it first
+	Writer        string
+	Readers       string
+	OlderVersions string // what a version does that does not know the form
 }
 
 // Inventory lists all forms, oldest first for each name. docs/upgrades.md has the
 // same table.
-func Inventory() []Form {
-	return []Form{
+func Inventory() []FormInfo {
+	return []FormInfo{
 		{"fc/lease", 1, "", "0.1", "leader", "all", "-"},
 		{"fc/lease", 2, "", "0.1", "leader, once all tell that they read it", "all", "cannot read it, is granted nothing"},
 		{"fc/lease", 3, "lease-level", "0.2", "leader", "all", "0.1: cannot read it, is granted nothing; later ones refuse to serve"},
--- a/internal/core/gate/raise.go
+++ b/internal/core/feature/raise.go
@@ -1,4 +1,4 @@
-package gate
+package feature
 
 import (
 	"fmt"
@@ -10,57 +10,57 @@
 	Name string
 	// Heard says that it has been heard a moment ago. Who is absent, cut off or
 	// frozen is not.
-	Heard bool
+	Reachable bool
 	// Process is the incarnation heard last, and Holder that which the lease
 	// value names for its block; 0: none.
-	Process, Holder uint64
+	Process, LeaseIncarnation uint64
 	// Told is what that controller has stored of itself; the zero value: nothing.
-	Told Told
+	Announced Announcement
 	// Seen is the level that it has read, as it was heard last.
-	Seen Level
+	SeenLevel Level
 }
 
 // Told is what a process has stored of itself.
-type Told struct {
-	Process uint64 // 0: nothing was stored
-	Levels  Range
-	Version string
+type Announcement struct {
+	Incarnation uint64 // 0: nothing was stored
+	Levels      Range
+	Version     string
 }
 
 // Lacks returns why a controller keeps the cluster from a level, or "". What
 // it told counts only as the process that it now is: an earlier one may have
 // been of another version.
-func (m Member) Lacks(l Level) string {
+func (m Member) MissingFor(l Level) string {
 	switch {
 	case m.Process == 0:
 		return "was never heard; it is named in the settings"
-	case !m.Heard:
+	case !m.Reachable:
 		return "is not heard at the moment"
-	case m.Told.Process == 0:
+	case m.Announced.Incarnation == 0:
 		return "has told no level: its version is from before levels, or it has just started"
-	case m.Told.Process != m.Process:
+	case m.Announced.Incarnation != m.Process:
 		return "told its level as an earlier process"
-	case m.Holder != 0 && m.Holder != m.Process:
+	case m.LeaseIncarnation != 0 && m.LeaseIncarnation != m.Process:
 		return "holds its block as an earlier process"
 	}
-	if err := m.Told.Levels.Follow(l); err != nil {
-		return fmt.Sprintf("version %s follows levels %d to %d only", m.Told.Version, m.Told.Levels.Oldest, m.Told.Levels.Newest)
+	if err := m.Announced.Levels.Follow(l); err != nil {
+		return fmt.Sprintf("version %s follows levels %d to %d only", m.Announced.Version, m.Announced.Levels.Oldest, m.Announced.Levels.Newest)
 	}
 	return ""
 }
 
 // Word is what the operator has asked for.
-type Word struct {
-	Level Level // to be raised to as soon as all can follow; 0: nothing asked
-	Hold  bool  // no raise by itself
+type OperatorRequest struct {
+	TargetLevel Level // to be raised to as soon as all can follow; 0: nothing asked
+	Hold        bool  // no raise by itself
 }
 
 // Raise decides when the level is raised. It belongs to a leader; a new one
 // begins to wait anew. Its zero value never raises by itself.
-type Raise struct {
+type LevelRaiser struct {
 	// After is for how long all must have been able to follow a level before it
 	// is raised without the operator's word; 0: never.
-	After time.Duration
+	Delay time.Duration
 
 	last      time.Time           // decision
 	since     map[Level]time.Time // all able, without a break
@@ -71,7 +71,7 @@
 // they read a level, before that counts, whoever asks. A cut holds frames back
 // and delivers them when it ends: a controller that died meanwhile then passes
 // for heard once more, for as long as a frame counts. Steady is longer.
-const Steady = 5 * time.Second
+const SettleTime = 5 * time.Second
 
 // unbroken is the longest time between two decisions that says nothing: a leader
 // decides with every value that it publishes, every 5 s. One that stood still
@@ -81,7 +81,7 @@
 
 // Decide returns what the level should be now, of a leader that can follow
 // levels, and what keeps the cluster from the newest of them.
-func (r *Raise) Decide(now time.Time, st State, own Range, members []Member, word Word) (State, []string) {
+func (r *LevelRaiser) Decide(now time.Time, st State, own Range, members []Member, word OperatorRequest) (State, []string) {
 	if r.since == nil || now.Sub(r.last) > unbroken {
 		r.since, r.confirmed = map[Level]time.Time{}, time.Time{}
 	}
@@ -101,8 +101,8 @@
 			r.since[l] = now
 		}
 		able := now.Sub(r.since[l])
-		byItself := r.After > 0 && !word.Hold && able >= r.After
-		if (word.Level >= l || byItself) && able >= Steady && next.Level == l-1 {
+		byItself := r.Delay > 0 && !word.Hold && able >= r.Delay
+		if (word.TargetLevel >= l || byItself) && able >= SettleTime && next.Level == l-1 {
 			next.Level = l
 		} else if len(waits) == 0 {
 			waits = []string{fmt.Sprintf("level %d: all can follow; waits for %s", l, awaits(r, word, l))}
@@ -115,9 +115,9 @@
 	} else {
 		var unseen []string
 		for _, m := range members {
-			if why := m.Lacks(st.Level); why != "" {
+			if why := m.MissingFor(st.Level); why != "" {
 				unseen = append(unseen, m.Name+" "+why)
-			} else if m.Seen < st.Level {
+			} else if m.SeenLevel < st.Level {
 				unseen = append(unseen, fmt.Sprintf("%s has not read level %d yet", m.Name, st.Level))
 			}
 		}
@@ -127,7 +127,7 @@
 			waits = append(waits, unseen...)
 		case r.confirmed.IsZero():
 			r.confirmed = now
-		case now.Sub(r.confirmed) >= Steady:
+		case now.Sub(r.confirmed) >= SettleTime:
 			next.Confirmed = st.Level
 		}
 	}
@@ -137,19 +137,19 @@
 func lacks(members []Member, l Level) []string {
 	var out []string
 	for _, m := range members {
-		if why := m.Lacks(l); why != "" {
+		if why := m.MissingFor(l); why != "" {
 			out = append(out, m.Name+" "+why)
 		}
 	}
 	return out
 }
 
-func awaits(r *Raise, word Word, l Level) string {
+func awaits(r *LevelRaiser, word OperatorRequest, l Level) string {
 	switch {
 	case word.Hold:
 		return "the operator, who holds it"
-	case r.After == 0:
+	case r.Delay == 0:
 		return "the operator"
 	}
-	return fmt.Sprintf("the operator, or %v from %s on", r.After, r.since[l].UTC().Format(time.TimeOnly))
+	return fmt.Sprintf("the operator, or %v from %s on", r.Delay, r.since[l].UTC().Format(time.TimeOnly))
 }
--- a/internal/core/leader/fleet.go
+++ b/internal/core/leader/fleet.go
@@ -6,8 +6,8 @@
 	"time"
 
 	"fawncove/internal/core/cluster"
+	"fawncove/internal/core/eventloop"
 	"fawncove/internal/core/sched"
-	"fawncove/internal/core/step"
 	"fawncove/internal/peerpb"
 	"fawncove/internal/wire"
 )
@@ -106,8 +106,8 @@
 }
 
 // Run rents, lists and returns machines.
-func (l *Leader) Run() {
-	if l.view.Version == 0 {
+func (l *Leader) RunAutoscaler() {
+	if l.view.LeaseVersion == 0 {
 		return
 	}
 	if !l.acts() {
@@ -120,12 +120,12 @@
 	if l.loop.Now.Sub(l.fleet.judgedAt) >= judgeEvery {
 		l.fleet.judgedAt = l.loop.Now
 		l.judge()
-		l.local.Introduce(l.Seen)
+		l.local.UpdateMachineInfo(l.MachineInfo)
 	}
 	l.release()
 	// The picture is rebuilt first: the machine list, and a renewal of every
 	// controller or the time that one takes.
-	if !l.fleet.list.whole || (len(l.renewals) < l.view.Cfg.Controllers() && l.loop.Now.Sub(l.since) < l.rebuild()) {
+	if !l.fleet.list.whole || (len(l.renewals) < l.view.Settings.Controllers() && l.loop.Now.Sub(l.since) < l.rebuild()) {
 		return
 	}
 	if l.loop.Now.Sub(l.fleet.planAt) >= planEvery {
@@ -140,25 +140,25 @@
 	l.gauge()
 	heard := map[string]bool{}
 	for node, r := range l.renewals {
-		if l.loop.Now.Sub(l.heardAt[node]) < 2*l.view.Par.Publish {
+		if l.loop.Now.Sub(l.heardAt[node]) < 2*l.view.Params.PublishInterval {
 			for _, n := range l.unpack(r.GetReconciled()) {
 				heard[n] = true
 			}
 		}
 	}
-	for _, n := range l.local.Guests() {
+	for _, n := range l.local.ForeignWorkers() {
 		heard[n] = true
 	}
 	l.fleet.reconsider()
 	// What stands empty here may be what somebody else waits for.
 	l.balance()
-	own := l.renewals[l.view.Me]
+	own := l.renewals[l.view.Self]
 	empty := map[string]bool{}
 	for _, node := range cluster.SortedKeys(l.renewals) {
 		r := l.renewals[node]
 		for _, n := range l.unpack(r.GetSilentMachines()) {
 			// Somebody else may hear what its holder does not.
-			if !heard[n] && !l.gone[n] && l.view.OwnerOf(n) == node {
+			if !heard[n] && !l.gone[n] && l.view.HolderOf(n) == node {
 				l.fleet.lose(n)
 			}
 		}
@@ -170,7 +170,7 @@
 			l.judgeUse(u.GetName(), u.GetIdleS(), u.GetQuarantined())
 		}
 	}
-	l.local.Block(func(name string, idle time.Duration, bad, lost bool) {
+	l.local.EachMachine(func(name string, idle time.Duration, bad, lost bool) {
 		empty[name] = idle > 0
 		l.judgeUse(name, idle.Seconds(), bad)
 		if lost && !heard[name] && !l.gone[name] {
@@ -180,7 +180,7 @@
 	l.retire()
 	for n := range l.recalls {
 		again := !empty[n] && l.inUseAgain(n)
-		if owner := l.view.OwnerOf(n); l.gone[n] || owner == "" || owner == l.moves[n] || again {
+		if owner := l.view.HolderOf(n); l.gone[n] || owner == "" || owner == l.moves[n] || again {
 			delete(l.recalls, n)
 			delete(l.idle, n)
 			delete(l.moves, n)
@@ -201,8 +201,8 @@
 	if !ok {
 		return false
 	}
-	owner := l.view.OwnerOf(name)
-	return l.loop.Now.Sub(at) > recallMost && (owner == l.view.Me || l.heardAt[owner].After(at.Add(recallMost)))
+	owner := l.view.HolderOf(name)
+	return l.loop.Now.Sub(at) > recallMost && (owner == l.view.Self || l.heardAt[owner].After(at.Add(recallMost)))
 }
 
 // spareShare is the part of the fleet that stays free on spot machines when
@@ -233,8 +233,8 @@
 	}
 	var dear []string
 	for name, r := range f.machines {
-		cpus := l.view.Types[r.kind].CPUs
-		if l.view.OwnerOf(name) == "" || f.leaving[name] {
+		cpus := l.view.MachineTypes[r.kind].CPUs
+		if l.view.HolderOf(name) == "" || f.leaving[name] {
 			continue
 		}
 		free -= spareShare * cpus
@@ -248,14 +248,14 @@
 		return
 	}
 	perCPU := func(name string) float64 {
-		t := l.view.Types[f.machines[name].kind]
+		t := l.view.MachineTypes[f.machines[name].kind]
 		return t.Price / max(t.CPUs, 1)
 	}
 	slices.SortFunc(dear, func(a, b string) int {
 		return cmp.Or(cmp.Compare(perCPU(b), perCPU(a)), cmp.Compare(a, b))
 	})
 	for _, name := range dear {
-		if cpus := l.view.Types[f.machines[name].kind].CPUs; cpus <= free {
+		if cpus := l.view.MachineTypes[f.machines[name].kind].CPUs; cpus <= free {
 			l.recalls[name] = true
 			l.dirty = true
 			free -= cpus
@@ -279,12 +279,12 @@
 			own := demands(l.renewals[holder])
 			for _, u := range l.renewals[holder].GetMachineUse() {
 				r := l.fleet.machines[u.GetName()]
-				if r == nil || u.GetQuarantined() || u.GetDeparting() || u.GetIdleS() < 1 || l.recalls[u.GetName()] || l.view.OwnerOf(u.GetName()) != holder {
+				if r == nil || u.GetQuarantined() || u.GetDeparting() || u.GetIdleS() < 1 || l.recalls[u.GetName()] || l.view.HolderOf(u.GetName()) != holder {
 					continue
 				}
-				empty := []sched.Offer{{Type: r.kind, Zone: r.zone, Spot: r.spot, Size: cluster.SizeOf(l.view.Types[r.kind])}}
-				left := sched.Absorb(want, empty)
-				if slices.Equal(counts(left), counts(want)) || !slices.Equal(counts(sched.Absorb(own, empty)), counts(own)) {
+				empty := []sched.Offer{{Type: r.kind, Zone: r.zone, Spot: r.spot, Size: cluster.MachineSize(l.view.MachineTypes[r.kind])}}
+				left := sched.PackInto(want, empty)
+				if slices.Equal(counts(left), counts(want)) || !slices.Equal(counts(sched.PackInto(own, empty)), counts(own)) {
 					continue
 				}
 				want = left
@@ -309,9 +309,9 @@
 	var out []sched.Demand
 	for _, d := range r.GetDemand() {
 		out = append(out, sched.Demand{Rank: int(d.GetRank()),
-			Need:  sched.Amount{CPUs: d.GetCpus(), Cards: d.GetGpus(), MemoryGB: d.GetMemoryGb()},
+			Need:  sched.Resources{CPUs: d.GetCpus(), GPUs: d.GetGpus(), MemoryGB: d.GetMemoryGb()},
 			Types: d.GetTypes(), Zone: d.GetZone(), Spot: d.GetSpot(),
-			Count: int(d.GetCount()), RunS: max(1, d.GetRunS()), ProvisionAll: d.GetProvisionAll(), Starved: d.GetStarved(), SlackS: d.GetSlackS()})
+			Count: int(d.GetCount()), RunS: max(1, d.GetRunS()), ProvisionAll: d.GetProvisionAll(), Overdue: d.GetStarved(), SlackS: d.GetSlackS()})
 	}
 	return out
 }
@@ -325,13 +325,13 @@
 		if !r.spot {
 			share = idleDear
 		}
-		if t, ok := l.view.Types[r.kind]; ok {
+		if t, ok := l.view.MachineTypes[r.kind]; ok {
 			boot = t.BootS
 		}
 	}
 	cpus := 0.0
 	if r := l.fleet.machines[name]; r != nil && r.spot {
-		cpus = l.view.Types[r.kind].CPUs
+		cpus = l.view.MachineTypes[r.kind].CPUs
 	}
 	if bad || (idleS > share*boot && (cpus == 0 || l.fleet.spot-cpus >= l.fleet.target)) {
 		l.fleet.spot -= cpus
@@ -362,7 +362,7 @@
 		}
 	}
 	l.log.Info("releasing", "machines", names)
-	l.loop.Emit(step.CloudRelease{Names: names, ID: l.loop.Call(func(d step.Completed) {
+	l.loop.Emit(eventloop.CloudDelete{Names: names, ID: l.loop.Call(func(d eventloop.Completion) {
 		f.releasing = false
 		f.releaseAt = l.loop.Now.Add(300 * time.Millisecond)
 		if d.Status != 200 {
@@ -378,7 +378,7 @@
 			return
 		}
 		for _, n := range names {
-			l.Gone(n)
+			l.MachineDeleted(n)
 		}
 		l.again = true
 	})})
--- a/internal/core/leader/fleet_test.go
+++ b/internal/core/leader/fleet_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"fawncove/internal/core/step"
+	"fawncove/internal/core/eventloop"
 	"fawncove/internal/peerpb"
 	"fawncove/internal/wire"
 )
@@ -33,18 +33,18 @@
 		// run has the leader hear the holder and act, and tells what it returns.
 		run := func(after time.Duration, lost bool, status int) (returned bool) {
 			l.loop.Begin(start.Add(after))
-			l.Stored(l.loop.Now)
+			l.PublishStored(l.loop.Now)
 			number++
 			r := &peerpb.Renewal{Node: "n1", Incarnation: 9, Number: number}
 			if lost {
 				r.SilentMachines = wire.PackNames([]string{"host-000001"})
 			}
-			l.Renewal(r)
-			l.Run()
+			l.HandleRenewal(r)
+			l.RunAutoscaler()
 			for _, e := range l.loop.Effects() {
-				if e, ok := e.(step.CloudRelease); ok {
+				if e, ok := e.(eventloop.CloudDelete); ok {
 					returned = slices.Contains(e.Names, "host-000001")
-					l.loop.Complete(step.Completed{ID: e.ID, Status: status})
+					l.loop.Complete(eventloop.Completion{ID: e.ID, Status: status})
 				}
 			}
 			return returned
@@ -76,14 +76,14 @@
 		start := l.loop.Now
 		for i, u := range []*peerpb.MachineUse{c.first, c.later} {
 			l.loop.Begin(start.Add(time.Duration(i)*(recallMost+2*time.Second) + time.Second))
-			l.Stored(l.loop.Now)
+			l.PublishStored(l.loop.Now)
 			r := &peerpb.Renewal{Node: "n1", Incarnation: 9, Number: uint64(1 + i)}
 			if u != nil {
 				u.Name = "host-000001"
 				r.MachineUse = append(r.MachineUse, u)
 			}
-			l.Renewal(r)
-			l.Run()
+			l.HandleRenewal(r)
+			l.RunAutoscaler()
 			if i == 0 && !l.recalls["host-000001"] {
 				t.Fatalf("%s: not recalled", c.name)
 			}
--- a/internal/core/leader/homes.go
+++ b/internal/core/leader/homes.go
@@ -15,7 +15,9 @@
 const partsMost = 8
 
 // many tells whether the fleet is more than one controller should hold.
-func (l *Leader) many() bool { return l.fleetSize() > min(l.view.Par.Home, l.machinesPerHome()) }
+func (l *Leader) many() bool {
+	return l.fleetSize() > min(l.view.Params.ShardLimitedAbove, l.machinesPerHome())
+}
 
 // partable tells whether a team's jobs may be parted now. Every share of a
 // limit must have room for the largest task, which is at most a machine.
@@ -26,8 +28,8 @@
 	if !l.many() || !l.mayPage() {
 		return false
 	}
-	n := float64(l.view.Cfg.Controllers())
-	for _, m := range l.view.Types {
+	n := float64(l.view.Settings.Controllers())
+	for _, m := range l.view.MachineTypes {
 		if (t.CPUsMax > 0 && t.CPUsMax < n*m.CPUs) || (t.GPUsMax > 0 && t.GPUsMax < n*m.GPUs) {
 			return false
 		}
@@ -39,10 +41,10 @@
 // teams may use, whichever is more.
 func (l *Leader) fleetSize() int {
 	biggest, most := 0.0, 0.0
-	for _, t := range l.view.Types {
+	for _, t := range l.view.MachineTypes {
 		biggest = max(biggest, t.CPUs)
 	}
-	for _, t := range l.view.Cfg.Cluster.Teams {
+	for _, t := range l.view.Settings.Cluster.Teams {
 		most += max(t.CPUs, t.CPUsMax)
 	}
 	return max(len(l.fleet.machines), int(most/max(1, biggest)))
@@ -50,18 +52,18 @@
 
 // large tells whether the fleet is so large that parting it costs less than
 // one controller for all of it (see docs/measurements.md).
-func (l *Leader) large() bool { return l.fleetSize() >= l.view.Par.Pack }
+func (l *Leader) large() bool { return l.fleetSize() >= l.view.Params.SinglePartitionBelow }
 
 // machinesPerHome is how many machines make it worth another controller that
 // is home to teams with limits. Each team's room is apart from the others'
 // where their homes are, so there are no more homes than the controllers'
 // processors ask for.
 func (l *Leader) machinesPerHome() int {
-	cores := l.view.Cfg.Cluster.Limits.Cores
+	cores := l.view.Settings.Cluster.Limits.Cores
 	if cores <= 0 {
 		cores = 1
 	}
-	return max(homeLeast, int(config.ReportsPerCore*cores*l.view.Cfg.Cluster.Workers.ReportS))
+	return max(homeLeast, int(config.ReportsPerCore*cores*l.view.Settings.Cluster.Workers.ReportS))
 }
 
 // homeLeast bounds machinesPerHome from below, for very small controllers.
@@ -72,7 +74,7 @@
 // offers it when nobody has fewer.
 func (l *Leader) seat(rec *wire.LeaseRecord, home, from string) string {
 	team, _, _ := wire.SplitShard(home)
-	count := cluster.CountHomes(rec.Partitions, team)
+	count := cluster.CountPartitions(rec.Partitions, team)
 	best := from
 	for _, node := range cluster.SortedKeys(rec.Blocks) {
 		if node == from || !l.alive(node) || count[node] >= count[from] {
@@ -92,7 +94,7 @@
 	// After a start the others get a moment to show up, and the machine list
 	// to tell the size of the fleet.
 	early := l.loop.Now.Sub(l.since) < 3*time.Second
-	if early && (len(l.view.Types) == 0 || !l.fleet.list.whole || (large && len(l.renewals) < l.view.Cfg.Controllers())) {
+	if early && (len(l.view.MachineTypes) == 0 || !l.fleet.list.whole || (large && len(l.renewals) < l.view.Settings.Controllers())) {
 		return
 	}
 	live := []string{}
@@ -104,7 +106,7 @@
 	// The weight of a controller is the guarantees it is home to.
 	weight := map[string]float64{}
 	weigh := func(t config.Team) float64 { return 1 + t.CPUs }
-	teams := slices.Clone(l.view.Cfg.Cluster.Teams)
+	teams := slices.Clone(l.view.Settings.Cluster.Teams)
 	slices.SortStableFunc(teams, func(a, b config.Team) int { return cmp.Compare(weigh(b), weigh(a)) })
 	for _, t := range teams {
 		weight[rec.Partitions[t.Name]] += weigh(t)
@@ -125,13 +127,13 @@
 			// Parting a small fleet leaves room unused on every part.
 			switch {
 			case !more && homes > 0 && weight[node] == 0:
-			case !large && homes == 0 && node != l.view.Me:
+			case !large && homes == 0 && node != l.view.Self:
 			case best == "", large && weight[node] < weight[best], !large && weight[node] > weight[best]:
 				best = node
 			}
 		}
 		if best == "" {
-			best = l.view.Me
+			best = l.view.Self
 		}
 		if weight[best] == 0 {
 			homes++
@@ -140,7 +142,7 @@
 		weight[best] += weigh(t)
 	}
 	for _, t := range teams {
-		own := cluster.Parts(rec.Partitions, t.Name)
+		own := cluster.Shards(rec.Partitions, t.Name)
 		if !l.partable(t) && len(own) == 0 {
 			continue
 		}
@@ -157,7 +159,7 @@
 			has[rec.Partitions[part]] = true
 		}
 		for _, node := range live {
-			if has[node] || len(own) >= partsMost*l.view.Cfg.Controllers() {
+			if has[node] || len(own) >= partsMost*l.view.Settings.Controllers() {
 				continue
 			}
 			part := wire.ShardName(t.Name, len(own)+1)
--- a/internal/core/leader/leader.go
+++ b/internal/core/leader/leader.go
@@ -14,9 +14,9 @@
 
 	"fawncove/internal/config"
 	"fawncove/internal/core/cluster"
-	"fawncove/internal/core/gate"
+	"fawncove/internal/core/eventloop"
+	"fawncove/internal/core/feature"
 	"fawncove/internal/core/leasevalue"
-	"fawncove/internal/core/step"
 	"fawncove/internal/peerpb"
 	"fawncove/internal/wire"
 )
@@ -26,29 +26,29 @@
 
 // Local is the controller that leads. The leader asks it for what it hears of
 // the others by message, or sooner than its own next renewal.
-type Local interface {
+type LocalController interface {
 	// Renewal describes the controller as renewals describe the others.
 	Renewal() *peerpb.Renewal
 	// Block calls f for each of its machines, in the order of their names,
 	// with how long it has been empty.
-	Block(f func(name string, idle time.Duration, bad, lost bool))
+	EachMachine(f func(name string, idle time.Duration, bad, lost bool))
 	// Guests are the machines of others, or of nobody, that report there.
-	Guests() []string
+	ForeignWorkers() []string
 	// Uses tells what its tasks use and want, for each limited team.
-	Uses() map[string]*peerpb.TeamUse
+	TeamUse() map[string]*peerpb.TeamUse
 	// Inflow is the work that has come in lately, in processors.
-	Inflow() float64
+	ArrivalRate() float64
 	// Introduce lets it know how to reach machines of its block that have not
 	// reported yet; seen returns nil for those that nobody has heard of.
-	Introduce(seen func(name string) *peerpb.MachineInfo)
+	UpdateMachineInfo(seen func(name string) *peerpb.MachineInfo)
 }
 
 // Leader is the state of a leader.
 type Leader struct {
-	loop  *step.Loop
+	loop  *eventloop.Loop
 	view  *cluster.View
-	book  *leasevalue.Book
-	local Local
+	book  *leasevalue.PageTable
+	local LocalController
 	log   *slog.Logger
 	inc   uint64 // of this controller's process
 	// budgets are the limits of the settings that bound the fleet, but for the
@@ -73,7 +73,7 @@
 	idle      map[string]time.Time // when each was recalled that stood empty, see inUseAgain
 	moves     map[string]string    // recalled for another controller
 	fleet     fleet
-	raise     gate.Raise
+	raise     feature.LevelRaiser
 	raiseNext time.Time // no raise before then
 	waits     []string  // what keeps the level from being raised
 }
@@ -82,19 +82,19 @@
 // first seen here: all renewals which that one honours were sent before, so
 // leases count as renewed then, however long the election took. Whoever lives
 // is given the time to renew with the new leader all the same.
-func New(loop *step.Loop, view *cluster.View, book *leasevalue.Book, local Local, log *slog.Logger, incarnation, term uint64, seen time.Time) *Leader {
+func New(loop *eventloop.Loop, view *cluster.View, book *leasevalue.PageTable, local LocalController, log *slog.Logger, incarnation, term uint64, seen time.Time) *Leader {
 	l := &Leader{loop: loop, view: view, book: book, local: local, log: log, inc: incarnation,
 		term: term, since: loop.Now, dirty: true,
 		renewals: map[string]*peerpb.Renewal{}, heardAt: map[string]time.Time{},
 		renewedAt: map[string]time.Time{}, gone: map[string]bool{}, recalls: map[string]bool{}, idle: map[string]time.Time{}, moves: map[string]string{}}
-	for _, b := range view.Cfg.Budgets() {
+	for _, b := range view.Settings.Budgets() {
 		if b.Field != "cluster.state.value_kb" {
 			l.budgets = append(l.budgets, b)
 		}
 	}
 	l.fleet.init()
-	l.raise.After = view.Par.RaiseAfter
-	if least := loop.Now.Add(l.rebuild() - cluster.Stretch(view.Par.Lease)); seen.Before(least) {
+	l.raise.Delay = view.Params.RaiseLevelAfter
+	if least := loop.Now.Add(l.rebuild() - cluster.RemoteDuration(view.Params.LeaseDuration)); seen.Before(least) {
 		seen = least
 	}
 	for node := range view.Lease.Blocks {
@@ -105,7 +105,7 @@
 
 // rebuild is how long a new leader waits for renewals of all controllers before
 // it acts on the lack of one.
-func (l *Leader) rebuild() time.Duration { return l.view.Par.Publish + time.Second }
+func (l *Leader) rebuild() time.Duration { return l.view.Params.PublishInterval + time.Second }
 
 // acts tells whether this leader may still rent and return machines. Whoever
 // takes the lead over gives no block away before its lease has lapsed, counted
@@ -113,18 +113,18 @@
 // Later a leader that is cut off, or has stood still, would return machines that
 // work for others by now: to it they are silent.
 func (l *Leader) acts() bool {
-	return l.loop.Now.Sub(l.storedAt) < cluster.Shrink(l.view.Par.Lease)
+	return l.loop.Now.Sub(l.storedAt) < cluster.LocalDuration(l.view.Params.LeaseDuration)
 }
 
 // Term is the term that it leads.
 func (l *Leader) Term() uint64 { return l.term }
 
 // End drops the leader: answers that still come change nothing.
-func (l *Leader) End() { l.ended = true }
+func (l *Leader) Stop() { l.ended = true }
 
 // Renewal takes in another controller's renewal. It returns false for one that
 // is older than what is known.
-func (l *Leader) Renewal(r *peerpb.Renewal) bool {
+func (l *Leader) HandleRenewal(r *peerpb.Renewal) bool {
 	node := r.GetNode()
 	old := l.renewals[node]
 	if old != nil && (r.GetIncarnation() < old.GetIncarnation() ||
@@ -144,19 +144,19 @@
 }
 
 // Stir says that there is something to publish.
-func (l *Leader) Stir() { l.dirty = true }
+func (l *Leader) RequestPublish() { l.dirty = true }
 
 // Again tells, once, that an answer has come in that should be acted on now.
-func (l *Leader) Again() bool {
+func (l *Leader) PublishNow() bool {
 	again := l.again
 	l.again = false
 	return again
 }
 
 // Due tells whether a lease value is to be proposed, and takes it for done.
-func (l *Leader) Due() bool {
+func (l *Leader) TakePublishDue() bool {
 	since := l.loop.Now.Sub(l.wrote)
-	if since < l.view.Par.Publish && (!l.dirty || since < writeGap) {
+	if since < l.view.Params.PublishInterval && (!l.dirty || since < writeGap) {
 		return false
 	}
 	l.wrote, l.dirty = l.loop.Now, false
@@ -164,13 +164,13 @@
 }
 
 // Stored notes that a proposed value, sent at a moment, is stored.
-func (l *Leader) Stored(sent time.Time) { l.storedAt = sent }
+func (l *Leader) PublishStored(sent time.Time) { l.storedAt = sent }
 
 // Renewed notes that the view has a newer value, where before it had these blocks.
 // The leases that it renews count from now, whoever wrote it and however it came to
 // be known: a write without an answer may be carried out late, and its holders
 // then have the time that it gives them.
-func (l *Leader) Renewed(before map[string]wire.Block) {
+func (l *Leader) LeaseApplied(before map[string]wire.Block) {
 	for node, b := range l.view.Lease.Blocks {
 		if old := before[node]; b.Renewal != old.Renewal || b.Incarnation != old.Incarnation {
 			l.renewedAt[node] = l.loop.Now
@@ -181,10 +181,10 @@
 // TooLarge notes that a proposed value could not be written in one transaction.
 // The same again would fail again, and with it every renewal: the next one
 // leaves out what can wait.
-func (l *Leader) TooLarge() { l.lean, l.dirty = true, true }
+func (l *Leader) ValueTooLarge() { l.lean, l.dirty = true, true }
 
 // Gone notes that the cloud has confirmed the end of a machine.
-func (l *Leader) Gone(name string) {
+func (l *Leader) MachineDeleted(name string) {
 	l.gone[name] = true
 	delete(l.fleet.leaving, name)
 	delete(l.fleet.lost, name)
@@ -197,7 +197,7 @@
 }
 
 // Seen describes a machine as far as anybody has told, or returns nil.
-func (l *Leader) Seen(name string) *peerpb.MachineInfo {
+func (l *Leader) MachineInfo(name string) *peerpb.MachineInfo {
 	r := l.fleet.machines[name]
 	if r == nil {
 		return nil
@@ -211,7 +211,7 @@
 	if l.renewals[node].GetResigned() {
 		return false
 	}
-	return node == l.view.Me || (ok && l.loop.Now.Sub(at) < 2*l.view.Par.Publish+time.Second)
+	return node == l.view.Self || (ok && l.loop.Now.Sub(at) < 2*l.view.Params.PublishInterval+time.Second)
 }
 
 // unpack reads a set of machines from a renewal.
--- a/internal/core/leader/leader_test.go
+++ b/internal/core/leader/leader_test.go
@@ -10,9 +10,9 @@
 
 	"fawncove/internal/config"
 	"fawncove/internal/core/cluster"
+	"fawncove/internal/core/eventloop"
 	"fawncove/internal/core/leasevalue"
 	"fawncove/internal/core/sched"
-	"fawncove/internal/core/step"
 	"fawncove/internal/peerpb"
 	"fawncove/internal/wire"
 )
@@ -20,12 +20,12 @@
 // local stands in for the controller that leads.
 type local struct{ inflow float64 }
 
-func (l *local) Renewal() *peerpb.Renewal                                    { return &peerpb.Renewal{Node: "n0", Incarnation: 7} }
-func (l *local) Block(func(name string, idle time.Duration, bad, lost bool)) {}
-func (l *local) Guests() []string                                            { return nil }
-func (l *local) Uses() map[string]*peerpb.TeamUse                            { return nil }
-func (l *local) Inflow() float64                                             { return l.inflow }
-func (l *local) Introduce(func(name string) *peerpb.MachineInfo)             {}
+func (l *local) Renewal() *peerpb.Renewal                                          { return &peerpb.Renewal{Node: "n0", Incarnation: 7} }
+func (l *local) EachMachine(func(name string, idle time.Duration, bad, lost bool)) {}
+func (l *local) ForeignWorkers() []string                                          { return nil }
+func (l *local) TeamUse() map[string]*peerpb.TeamUse                               { return nil }
+func (l *local) ArrivalRate() float64                                              { return l.inflow }
+func (l *local) UpdateMachineInfo(func(name string) *peerpb.MachineInfo)           {}
 
 // newLeader returns a leader of two controllers that has led for a minute and
 // has read the machine list.
@@ -36,11 +36,11 @@
 			State:   config.State{RPS: 100, WriteRPS: 50, ValueKB: 8, TxnOps: 12},
 			Cloud:   config.Cloud{RPS: 5, ListLagS: 4}}}
 	view := cluster.New(s, cluster.Defaults())
-	view.Types["s4"] = wire.MachineType{Name: "s4", CPUs: 4, MemoryGB: 16, CacheGB: 20, FetchGBPS: 1, Price: 1, SpotPrice: 0.3, BootS: 6, Zones: []string{"x", "y"}}
-	view.Take(rec, 5)
-	loop := &step.Loop{}
+	view.MachineTypes["s4"] = wire.MachineType{Name: "s4", CPUs: 4, MemoryGB: 16, CacheGB: 20, FetchGBPS: 1, Price: 1, SpotPrice: 0.3, BootS: 6, Zones: []string{"x", "y"}}
+	view.ApplyLease(rec, 5)
+	loop := &eventloop.Loop{}
 	loop.Begin(time.Date(2026, 3, 1, 6, 0, 0, 0, time.UTC))
-	l := New(loop, view, new(leasevalue.Book), &local{}, slog.New(slog.NewTextHandler(io.Discard, nil)), 7, rec.Term, loop.Now)
+	l := New(loop, view, new(leasevalue.PageTable), &local{}, slog.New(slog.NewTextHandler(io.Discard, nil)), 7, rec.Term, loop.Now)
 	l.since, l.fleet.list.whole = loop.Now.Add(-time.Minute), true
 	return l
 }
@@ -54,7 +54,7 @@
 		reportS float64
 		homes   int
 	}{{0.12, 2, 1}, {0.05, 2, 2}, {0.05, 6, 1}, {0, 0.1, 2}} {
-		l.view.Cfg.Cluster.Limits.Cores, l.view.Cfg.Cluster.Workers.ReportS = want.cores, want.reportS
+		l.view.Settings.Cluster.Limits.Cores, l.view.Settings.Cluster.Workers.ReportS = want.cores, want.reportS
 		l.renewals["n1"], l.heardAt["n1"] = &peerpb.Renewal{}, l.loop.Now
 		rec := wire.LeaseRecord{Blocks: map[string]wire.Block{"n0": {}, "n1": {}}, Partitions: map[string]string{}}
 		l.settleHomes(&rec)
@@ -84,7 +84,7 @@
 		l.local = &local{inflow: c.inflow}
 		// 100 tasks of 9 s, to be worked off in 1.5 boot times of 6 s, need as
 		// many processors for that time.
-		waiting := []sched.Demand{{Need: sched.Amount{CPUs: 1}, Count: 100, RunS: 9, SlackS: c.slack, ProvisionAll: c.whole}}
+		waiting := []sched.Demand{{Need: sched.Resources{CPUs: 1}, Count: 100, RunS: 9, SlackS: c.slack, ProvisionAll: c.whole}}
 		if got := l.behind(waiting, 120)[0].Count; got != c.want {
 			t.Errorf("%s: %d tasks want dear machines, want %d", c.name, got, c.want)
 		}
@@ -117,7 +117,7 @@
 		{"one without a grant", 6, 0, false},
 	} {
 		l := newLeader([]config.Team{team}, lease())
-		l.Renewal(&peerpb.Renewal{Node: "n1", Incarnation: 9, Number: c.number, Grant: c.grant,
+		l.HandleRenewal(&peerpb.Renewal{Node: "n1", Incarnation: 9, Number: c.number, Grant: c.grant,
 			Reservations: []*peerpb.QuotaReservation{{Team: "red", Cpus: 30}}})
 		rec, _ := l.Publish(&peerpb.Renewal{Node: "n0", Incarnation: 7, Number: 1})
 		shares := rec.Shares["red"]["n1"].CPUs
@@ -137,9 +137,9 @@
 		l := newLeader([]config.Team{{Name: "red", CPUsMax: 100}}, wire.LeaseRecord{Term: 3, Leader: "n0", Incarnation: 7,
 			Partitions: map[string]string{"red": "n0"},
 			Blocks:     map[string]wire.Block{"n0": {Grant: 3 << 16, Incarnation: 7}, "n1": {Grant: 3<<16 + 1, Incarnation: 9, Renewal: 5}}})
-		l.view.Par.Home = 0
-		l.view.Peers["n1"].Form = form
-		l.Renewal(&peerpb.Renewal{Node: "n1", Incarnation: 9, Number: 6})
+		l.view.Params.ShardLimitedAbove = 0
+		l.view.Peers["n1"].LeaseForm = form
+		l.HandleRenewal(&peerpb.Renewal{Node: "n1", Incarnation: 9, Number: 6})
 		rec, _ := l.Publish(&peerpb.Renewal{Node: "n0", Incarnation: 7, Number: 1})
 		if (rec.Form == 2) != (form == 2) || (len(rec.Shares) > 0) != (form == 2) {
 			t.Errorf("the others read form %d: stored in form %d with shares %v", form, rec.Form, rec.Shares)
@@ -202,7 +202,7 @@
 			Partitions: map[string]string{"red #1": "n0", "red #2": "n1", "red #3": "n1", "red #4": "n1"},
 			Blocks: map[string]wire.Block{"n0": {Grant: 3 << 16, Incarnation: 7},
 				"n1": {Grant: 3<<16 + 1, Incarnation: 9, Renewal: 5}}})
-		l.Renewal(&peerpb.Renewal{Node: "n1", Incarnation: 9, Number: c.number, Grant: c.grant, Handovers: []string{"red #3", "red #1"}})
+		l.HandleRenewal(&peerpb.Renewal{Node: "n1", Incarnation: 9, Number: c.number, Grant: c.grant, Handovers: []string{"red #3", "red #1"}})
 		rec, _ := l.Publish(&peerpb.Renewal{Node: "n0", Incarnation: 7, Number: 1})
 		if rec.Partitions["red #3"] != c.want || rec.Partitions["red #1"] != "n0" {
 			t.Errorf("%s: homes are %v", c.name, rec.Partitions)
@@ -217,7 +217,7 @@
 	x := newLeader([]config.Team{{Name: "free"}}, wire.LeaseRecord{Term: 3, Leader: "n0", Incarnation: 7,
 		Blocks: map[string]wire.Block{"n0": {Grant: 3 << 16, Incarnation: 7}, "n1": {Grant: 3<<16 + 1, Incarnation: 9}}})
 	start := x.loop.Now
-	l := New(x.loop, x.view, new(leasevalue.Book), &local{}, x.log, 7, 3, start.Add(-time.Minute))
+	l := New(x.loop, x.view, new(leasevalue.PageTable), &local{}, x.log, 7, 3, start.Add(-time.Minute))
 	for after, want := range map[time.Duration]bool{l.rebuild() - time.Second: true, l.rebuild() + time.Second: false} {
 		l.loop.Begin(start.Add(after))
 		rec, _ := l.Publish(&peerpb.Renewal{Node: "n0", Incarnation: 7, Number: 1})
@@ -250,17 +250,17 @@
 	l := newLeader(nil, wire.LeaseRecord{Term: 3, Leader: "n0", Incarnation: 7, LastGrant: 3<<16 + 1,
 		Blocks: map[string]wire.Block{"n0": {Grant: 3 << 16, Incarnation: 7}, "n1": {Grant: 3<<16 + 1, Incarnation: 9, Machines: []string{"host-000001"}}}})
 	l.fleet.machines["host-000001"] = &rented{offerKey: offerKey{kind: "s4"}}
-	version := l.view.Version
+	version := l.view.LeaseVersion
 	publish := func(own *peerpb.Renewal) string {
 		own.Node, own.Incarnation, own.Number = "n0", 7, l.view.Lease.Blocks["n0"].Renewal+1
 		own.Grant = l.view.Lease.Blocks["n0"].Grant
 		rec, stored := l.Publish(own)
 		stored()
 		version++
-		l.view.Take(rec, version)
-		return l.view.OwnerOf("host-000001")
+		l.view.ApplyLease(rec, version)
+		return l.view.HolderOf("host-000001")
 	}
-	l.Renewal(&peerpb.Renewal{Node: "n1", Incarnation: 9, Number: 1, Grant: 3<<16 + 1, Released: wire.PackNames([]string{"host-000001"})})
+	l.HandleRenewal(&peerpb.Renewal{Node: "n1", Incarnation: 9, Number: 1, Grant: 3<<16 + 1, Released: wire.PackNames([]string{"host-000001"})})
 	l.recalls["host-000001"], l.moves["host-000001"] = true, "n0"
 	if got := publish(&peerpb.Renewal{}); got != "n0" {
 		t.Fatalf("given back for n0, it is %q's", got)
@@ -275,7 +275,7 @@
 		t.Errorf("by a renewal of before it is %q's, to be returned: %v", got, l.fleet.leaving["host-000001"])
 	}
 	grant := l.view.Lease.Blocks["n1"].Grant
-	l.Renewal(&peerpb.Renewal{Node: "n1", Incarnation: 9, Number: 2, Grant: grant, Released: wire.PackNames([]string{"host-000001"})})
+	l.HandleRenewal(&peerpb.Renewal{Node: "n1", Incarnation: 9, Number: 2, Grant: grant, Released: wire.PackNames([]string{"host-000001"})})
 	if got := publish(&peerpb.Renewal{}); got != "" || !l.fleet.leaving["host-000001"] {
 		t.Errorf("given back under its grant it is %q's, to be returned: %v", got, l.fleet.leaving["host-000001"])
 	}
