--- a/internal/core/leader/list.go
+++ b/internal/core/leader/list.go
@@ -5,7 +5,7 @@
 
 	"fawncove/internal/config"
 	"fawncove/internal/core/cluster"
-	"fawncove/internal/core/step"
+	"fawncove/internal/core/eventloop"
 	"fawncove/internal/wire"
 )
 
@@ -30,13 +30,13 @@
 	if at.after == "" {
 		at.began = l.loop.Now
 	}
-	pause := l.view.Cfg.ListPause()
+	pause := l.view.Settings.ListPause()
 	if !at.whole {
 		pause /= 2
 	}
 	at.asked, at.next = true, l.loop.Now.Add(pause)
 	after := at.after
-	l.loop.Emit(step.CloudList{After: after, ID: l.loop.Call(func(d step.Completed) {
+	l.loop.Emit(eventloop.CloudList{After: after, ID: l.loop.Call(func(d eventloop.Completion) {
 		at.asked = false
 		if l.ended {
 			return
@@ -45,7 +45,7 @@
 			at.next = l.loop.Now.Add(time.Second) // the same page again
 			return
 		}
-		l.takePage(after, d.List)
+		l.takePage(after, d.Machines)
 	})})
 }
 
@@ -63,7 +63,7 @@
 	// Missing for longer than any list can lag: taken by the cloud. The release
 	// makes sure of it before anything is started again. It is judged by each
 	// page as it comes: at the end of a round its first pages are older than that.
-	lag := config.Seconds(2*l.view.Cfg.Cluster.Cloud.ListLagS) + 5*time.Second
+	lag := config.Seconds(2*l.view.Settings.Cluster.Cloud.ListLagS) + 5*time.Second
 	for name, r := range l.fleet.machines {
 		if name > after && (name <= last || !more) && !names[name] &&
 			l.loop.Now.Sub(r.listedAt) > lag && l.loop.Now.Sub(r.rentedAt) > lag {
@@ -74,10 +74,10 @@
 		return
 	}
 	at.after, at.whole = "", true
-	if again := at.began.Add(l.view.Cfg.ListEvery()); again.After(at.next) {
+	if again := at.began.Add(l.view.Settings.ListEvery()); again.After(at.next) {
 		at.next = again
 	}
-	l.local.Introduce(l.Seen)
+	l.local.UpdateMachineInfo(l.MachineInfo)
 }
 
 // listed takes one line of the machine list.
@@ -92,7 +92,7 @@
 		f.machines[m.Name] = r
 	}
 	r.listedAt, r.endpoint = l.loop.Now, m.Endpoint
-	if m.State != wire.MachineRunning || l.view.OwnerOf(m.Name) != "" {
+	if m.State != wire.MachineRunning || l.view.HolderOf(m.Name) != "" {
 		r.ownerless = time.Time{}
 	} else if r.ownerless.IsZero() {
 		r.ownerless = l.loop.Now
@@ -103,9 +103,9 @@
 		f.leaving[m.Name] = true
 	case m.State == wire.MachineFailed:
 		f.leaving[m.Name] = true
-	case m.State == wire.MachineBooting && l.view.OwnerOf(m.Name) == "":
+	case m.State == wire.MachineBooting && l.view.HolderOf(m.Name) == "":
 		// Never came up: some take several times as long, a few for ever.
-		if t, ok := l.view.Types[m.Type]; ok && m.AgeS > cluster.NeverUp*t.BootS+15 {
+		if t, ok := l.view.MachineTypes[m.Type]; ok && m.AgeS > cluster.BootTimeoutFactor*t.BootS+15 {
 			f.leaving[m.Name] = true
 		}
 	}
@@ -114,5 +114,5 @@
 // ownerlessMost is how long a machine that is up may be in no block. It takes a
 // report and a write of the lease value to join one; a list may show it late.
 func (l *Leader) ownerlessMost() time.Duration {
-	return config.Seconds(l.view.Cfg.Cluster.Workers.LeaseS+2*l.view.Cfg.Cluster.Cloud.ListLagS) + 30*time.Second
+	return config.Seconds(l.view.Settings.Cluster.Workers.LeaseS+2*l.view.Settings.Cluster.Cloud.ListLagS) + 30*time.Second
 }
--- a/internal/core/leader/list_test.go
+++ b/internal/core/leader/list_test.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"fawncove/internal/config"
-	"fawncove/internal/core/step"
+	"fawncove/internal/core/eventloop"
 	"fawncove/internal/wire"
 )
 
@@ -49,7 +49,7 @@
 	for i := range 10000 {
 		c.born[i] = start.Add(-time.Minute)
 	}
-	perSecond := l.view.Cfg.Cluster.Cloud.RPS
+	perSecond := l.view.Settings.Cluster.Cloud.RPS
 	for now, end := start, start.Add(5*time.Minute); now.Before(end); now = now.Add(100 * time.Millisecond) {
 		l.loop.Begin(now)
 		if now.Sub(start)%time.Second == 0 {
@@ -62,21 +62,21 @@
 		}
 		l.readList()
 		for _, e := range l.loop.Effects() {
-			e := e.(step.CloudList)
+			e := e.(eventloop.CloudList)
 			c.calls++
 			away := now.Sub(start) > 2*time.Minute && now.Sub(start) < 3*time.Minute
 			if away || rng.IntN(3) == 0 {
-				l.loop.Complete(step.Completed{ID: e.ID, Status: 503})
+				l.loop.Complete(eventloop.Completion{ID: e.ID, Status: 503})
 				continue
 			}
-			l.loop.Complete(step.Completed{ID: e.ID, Status: 200, List: c.page(e.After, now)})
+			l.loop.Complete(eventloop.Completion{ID: e.ID, Status: 200, Machines: c.page(e.After, now)})
 		}
 		for name := range l.fleet.leaving {
 			var i int
 			if _, err := fmt.Sscanf(name, "host-%d", &i); err != nil || c.died[i].IsZero() {
 				t.Fatalf("%v: %s lives and is taken for gone", now.Sub(start), name)
 			}
-			l.Gone(name)
+			l.MachineDeleted(name)
 		}
 		for _, r := range l.fleet.machines {
 			r.ownerless = time.Time{} // that they join no block is another test's
--- a/internal/core/leader/plan.go
+++ b/internal/core/leader/plan.go
@@ -9,24 +9,24 @@
 
 	"fawncove/internal/config"
 	"fawncove/internal/core/cluster"
+	"fawncove/internal/core/eventloop"
 	"fawncove/internal/core/leasevalue"
 	"fawncove/internal/core/sched"
-	"fawncove/internal/core/step"
 	"fawncove/internal/wire"
 )
 
 // plan rents machines for work that has no place.
 func (l *Leader) plan() {
 	f := &l.fleet
-	if f.renting > 0 || len(l.view.Types) == 0 {
+	if f.renting > 0 || len(l.view.MachineTypes) == 0 {
 		return
 	}
 	var waiting []sched.Demand
-	l.renewals[l.view.Me] = l.local.Renewal()
+	l.renewals[l.view.Self] = l.local.Renewal()
 	for _, node := range cluster.SortedKeys(l.renewals) {
 		waiting = append(waiting, demands(l.renewals[node])...)
 	}
-	waiting = sched.Merge(waiting)
+	waiting = sched.MergeDemands(waiting)
 	if !l.roomForMore() {
 		return
 	}
@@ -58,19 +58,19 @@
 	have, soonHave := 0.0, 0.0
 	for _, name := range cluster.SortedKeys(f.machines) {
 		r := f.machines[name]
-		t, ok := l.view.Types[r.kind]
+		t, ok := l.view.MachineTypes[r.kind]
 		if !ok || f.leaving[name] || l.recalls[name] || (r.spot && !spot) {
 			continue
 		}
-		if l.view.OwnerOf(name) != "" {
+		if l.view.HolderOf(name) != "" {
 			have += t.CPUs
-		} else if l.loop.Now.Sub(r.rentedAt) < config.Seconds(cluster.NeverUp*t.BootS) {
+		} else if l.loop.Now.Sub(r.rentedAt) < config.Seconds(cluster.BootTimeoutFactor*t.BootS) {
 			// Slower ones may never come and count as absent.
-			coming = append(coming, sched.Offer{Type: r.kind, Zone: r.zone, Spot: r.spot, Size: cluster.SizeOf(t)})
+			coming = append(coming, sched.Offer{Type: r.kind, Zone: r.zone, Spot: r.spot, Size: cluster.MachineSize(t)})
 			soonHave += t.CPUs
 		}
 	}
-	left := sched.Absorb(waiting, coming)
+	left := sched.PackInto(waiting, coming)
 	work := 0.0
 	for _, d := range left {
 		work += float64(d.Count) * d.Need.CPUs * d.RunS
@@ -79,7 +79,7 @@
 		return
 	}
 	soon := 0.0
-	for _, t := range l.view.Types {
+	for _, t := range l.view.MachineTypes {
 		if soon == 0 || t.BootS < soon {
 			soon = t.BootS
 		}
@@ -89,7 +89,7 @@
 	// machines that are on their way at work as well.
 	if spot {
 		before := f.renting
-		for _, o := range sched.Rent(beyond(left, work, have, cheapPatience*soon), l.offers(true), rentMost) {
+		for _, o := range sched.PlanScaleOut(beyond(left, work, have, cheapPatience*soon), l.offers(true), rentMost) {
 			l.rent(o)
 		}
 		if f.renting > before {
@@ -97,7 +97,7 @@
 		}
 	}
 	if spot && l.large() {
-		for _, o := range sched.Rent(l.behind(waiting, have+soonHave), l.offers(false), rentMost) {
+		for _, o := range sched.PlanScaleOut(l.behind(waiting, have+soonHave), l.offers(false), rentMost) {
 			l.rent(o)
 		}
 		return
@@ -106,7 +106,7 @@
 	if !spot {
 		patience = cheapPatience // there is nothing cheaper to wait for
 	}
-	for _, o := range sched.Rent(beyond(left, work, have+soonHave, patience*soon), l.offers(false), rentMost) {
+	for _, o := range sched.PlanScaleOut(beyond(left, work, have+soonHave, patience*soon), l.offers(false), rentMost) {
 		l.rent(o)
 	}
 }
@@ -145,8 +145,8 @@
 	f.gaugedAt = l.loop.Now
 	f.spot = 0
 	for name, r := range f.machines {
-		t := l.view.Types[r.kind]
-		if r.spot && !f.leaving[name] && !l.recalls[name] && !going[name] && (l.view.OwnerOf(name) != "" || l.loop.Now.Sub(r.rentedAt) < config.Seconds(cluster.NeverUp*t.BootS)) {
+		t := l.view.MachineTypes[r.kind]
+		if r.spot && !f.leaving[name] && !l.recalls[name] && !going[name] && (l.view.HolderOf(name) != "" || l.loop.Now.Sub(r.rentedAt) < config.Seconds(cluster.BootTimeoutFactor*t.BootS)) {
 			f.spot += t.CPUs
 		}
 	}
@@ -183,7 +183,7 @@
 	left := rentMost
 	short := f.target - f.spot
 	part := short
-	if n := min(len(offers), max(1, int(l.view.Cfg.Cluster.Cloud.RPS))); n > 1 &&
+	if n := min(len(offers), max(1, int(l.view.Settings.Cluster.Cloud.RPS))); n > 1 &&
 		short > muchMissing*f.target && l.loop.Now.Sub(f.tight) < tightFor {
 		part = short / float64(n)
 	}
@@ -192,7 +192,7 @@
 		if n <= 0 {
 			continue
 		}
-		l.rent(sched.Order{Offer: o, Number: n})
+		l.rent(sched.ScaleOut{Offer: o, Count: n})
 		f.spot += float64(n) * o.Size.CPUs
 		left -= n
 	}
@@ -210,7 +210,7 @@
 	}
 	var coming []string
 	for name := range l.fleet.machines {
-		if l.view.OwnerOf(name) == "" {
+		if l.view.HolderOf(name) == "" {
 			coming = append(coming, name)
 		}
 	}
@@ -229,14 +229,14 @@
 			return false
 		}
 	}
-	size := l.view.ValueBytes
+	size := l.view.LeaseValueBytes
 	if l.view.Lease.Form < 2 {
 		size = l.plainSize()
 		if l.mayPage() {
 			return true // pages come in time
 		}
 	}
-	return l.below("names in the lease value", float64(size), leasevalue.FullPart*1024*l.view.Cfg.Cluster.State.ValueKB)
+	return l.below("names in the lease value", float64(size), leasevalue.MaxFill*1024*l.view.Settings.Cluster.State.ValueKB)
 }
 
 // ceilingPart is to which part of a ceiling a budget has to come down before the
@@ -289,13 +289,13 @@
 // same machine time, so it is worked off as early as its aims ask for.
 func (l *Leader) behind(waiting []sched.Demand, size float64) []sched.Demand {
 	soon := 0.0
-	for _, t := range l.view.Types {
+	for _, t := range l.view.MachineTypes {
 		if soon == 0 || t.BootS < soon {
 			soon = t.BootS
 		}
 	}
 	drain := dearPatience * soon
-	short, cpus := l.local.Inflow()-size, 0.0
+	short, cpus := l.local.ArrivalRate()-size, 0.0
 	for _, r := range l.renewals {
 		short += r.GetBusyCpus() - r.GetBusySpotCpus()
 	}
@@ -320,8 +320,8 @@
 // offers lists what can be rented: the cheap kind, spot machines, or all.
 func (l *Leader) offers(cheap bool) []sched.Offer {
 	var out []sched.Offer
-	for _, name := range cluster.SortedKeys(l.view.Types) {
-		t := l.view.Types[name]
+	for _, name := range cluster.SortedKeys(l.view.MachineTypes) {
+		t := l.view.MachineTypes[name]
 		for _, zone := range t.Zones {
 			for _, spot := range []bool{true, false} {
 				if l.loop.Now.Before(l.fleet.refused[offerKey{name, zone, spot}]) || (cheap && !spot) {
@@ -331,7 +331,7 @@
 				if spot {
 					price = t.SpotPrice
 				}
-				out = append(out, sched.Offer{Type: name, Zone: zone, Spot: spot, Size: cluster.SizeOf(t), Price: price, BootS: t.BootS})
+				out = append(out, sched.Offer{Type: name, Zone: zone, Spot: spot, Size: cluster.MachineSize(t), Price: price, BootS: t.BootS})
 			}
 		}
 	}
@@ -339,23 +339,23 @@
 }
 
 // rent asks for an order's machines, a request for each MaxInstancesPerRequest of them.
-func (l *Leader) rent(o sched.Order) {
-	for ; o.Number > wire.MaxInstancesPerRequest; o.Number -= wire.MaxInstancesPerRequest {
+func (l *Leader) rent(o sched.ScaleOut) {
+	for ; o.Count > wire.MaxInstancesPerRequest; o.Count -= wire.MaxInstancesPerRequest {
 		part := o
-		part.Number = wire.MaxInstancesPerRequest
+		part.Count = wire.MaxInstancesPerRequest
 		l.request(part)
 	}
 	l.request(o)
 }
 
-func (l *Leader) request(o sched.Order) {
+func (l *Leader) request(o sched.ScaleOut) {
 	f := &l.fleet
 	f.requests++
 	f.renting++
 	key := offerKey{o.Type, o.Zone, o.Spot}
-	req := wire.InstanceRequest{ID: fmt.Sprintf("r-%d-%d", l.term, f.requests), Type: o.Type, Zone: o.Zone, Spot: o.Spot, Count: o.Number}
+	req := wire.InstanceRequest{ID: fmt.Sprintf("r-%d-%d", l.term, f.requests), Type: o.Type, Zone: o.Zone, Spot: o.Spot, Count: o.Count}
 	asked := l.loop.Now
-	l.loop.Emit(step.CloudRent{Rent: req, ID: l.loop.Call(func(d step.Completed) {
+	l.loop.Emit(eventloop.CloudCreate{Request: req, ID: l.loop.Call(func(d eventloop.Completion) {
 		f.renting--
 		if d.Status != 200 || len(d.Names) < req.Count {
 			if o.Spot {
--- a/internal/core/leader/publish.go
+++ b/internal/core/leader/publish.go
@@ -20,7 +20,7 @@
 // Regrant gives a controller's block to a new process of that controller. Its
 // old one is dead, so nothing has to lapse, but all machines may run tasks
 // that the new process knows nothing of.
-func Regrant(rec *wire.LeaseRecord, node string, inc uint64) {
+func GrantAnew(rec *wire.LeaseRecord, node string, inc uint64) {
 	b := rec.Blocks[node]
 	if b.Incarnation == inc {
 		return
@@ -49,11 +49,11 @@
 // renewal, numbered as its next one. stored is to be called once the value is
 // stored: only then has happened what it says.
 func (l *Leader) Publish(own *peerpb.Renewal) (rec wire.LeaseRecord, stored func()) {
-	l.renewals[l.view.Me] = own
+	l.renewals[l.view.Self] = own
 	p := &proposal{rec: l.view.Lease.Clone(), gave: map[string]map[string]bool{}, joined: map[string]map[string]bool{}}
 	p.rec.Sequence++
-	l.honour(&p.rec, l.view.Me, own)
-	Regrant(&p.rec, l.view.Me, l.inc)
+	l.honour(&p.rec, l.view.Self, own)
+	GrantAnew(&p.rec, l.view.Self, l.inc)
 	l.renew(p)
 	stored = l.takeOver(&p.rec)
 	l.settleHomes(&p.rec)
@@ -83,13 +83,13 @@
 func (l *Leader) renew(p *proposal) {
 	for _, node := range cluster.SortedKeys(l.renewals) {
 		r := l.renewals[node]
-		if node != l.view.Me && !r.GetResigned() {
+		if node != l.view.Self && !r.GetResigned() {
 			if old, ok := p.rec.Blocks[node]; !ok || old.Incarnation != r.GetIncarnation() {
 				// A controller whose lease lapsed and that is back begins
 				// anew; by its old date it would lapse again at once.
 				l.renewedAt[node] = l.loop.Now
 			}
-			Regrant(&p.rec, node, r.GetIncarnation())
+			GrantAnew(&p.rec, node, r.GetIncarnation())
 			b := p.rec.Blocks[node]
 			if r.GetNumber() > b.Renewal {
 				l.honour(&p.rec, node, r)
@@ -117,7 +117,7 @@
 		// Who resigned did so as a later incarnation than the block was
 		// granted to, so nothing has to lapse.
 		resigned := l.renewals[node].GetResigned() && l.renewals[node].GetIncarnation() > dead.Incarnation
-		if node == l.view.Me || (!resigned && l.loop.Now.Sub(l.renewedAt[node]) <= cluster.Stretch(l.view.Par.Lease)) {
+		if node == l.view.Self || (!resigned && l.loop.Now.Sub(l.renewedAt[node]) <= cluster.RemoteDuration(l.view.Params.LeaseDuration)) {
 			continue
 		}
 		delete(rec.Blocks, node)
@@ -153,16 +153,16 @@
 	if p.rec.Form < 2 {
 		return
 	}
-	budget := l.book.Budget(l.view.Cfg.ValueLimits())
+	budget := l.book.WriteBudget(l.view.Settings.ValueLimits())
 	if l.lean {
-		budget.Close()
+		budget.Exhaust()
 	}
 	put := func(yes bool) bool {
 		l.dirty = l.dirty || !yes
 		return yes
 	}
-	p.leave = func(name string) bool { return put(budget.Leave(name)) }
-	p.enter = func(node string) bool { return put(budget.Join(node)) }
+	p.leave = func(name string) bool { return put(budget.RemoveMachine(name)) }
+	p.enter = func(node string) bool { return put(budget.AddMachine(node)) }
 }
 
 // settled tells whether a machine that was given back goes to another
@@ -178,10 +178,10 @@
 func (l *Leader) partWith(p *proposal) (free []string) {
 	recalls := map[string][]string{}
 	for i, n := range cluster.SortedKeys(l.recalls) {
-		if l.lean || p.rec.Form >= 2 && i >= leasevalue.RecallsMost(l.view.Cfg.ValueLimits()) {
+		if l.lean || p.rec.Form >= 2 && i >= leasevalue.MaxDraining(l.view.Settings.ValueLimits()) {
 			break // the others follow when these are back
 		}
-		recalls[l.view.OwnerOf(n)] = append(recalls[l.view.OwnerOf(n)], n)
+		recalls[l.view.HolderOf(n)] = append(recalls[l.view.HolderOf(n)], n)
 	}
 	for _, node := range cluster.SortedKeys(p.rec.Blocks) {
 		b, gave := p.rec.Blocks[node], p.gave[node]
@@ -245,7 +245,7 @@
 	for _, node := range cluster.SortedKeys(l.renewals) {
 		for _, s := range l.renewals[node].GetKnownMachines() {
 			n := s.GetName()
-			if fresh[n] || l.view.OwnerOf(n) != "" || l.gone[n] || l.fleet.leaving[n] {
+			if fresh[n] || l.view.HolderOf(n) != "" || l.gone[n] || l.fleet.leaving[n] {
 				continue
 			}
 			fresh[n] = true
@@ -261,7 +261,7 @@
 
 // successor chooses who takes over a dead controller's block.
 func (l *Leader) successor(rec *wire.LeaseRecord, dead string) string {
-	best := l.view.Me
+	best := l.view.Self
 	for _, node := range cluster.SortedKeys(rec.Blocks) {
 		if node == dead || !l.alive(node) {
 			continue
@@ -307,11 +307,11 @@
 	}
 	return func(s *peerpb.MachineInfo) string {
 		best, bestFill, bestNeed := "", -1.0, -1.0
-		kind := l.view.Types[s.GetType()]
+		kind := l.view.MachineTypes[s.GetType()]
 		for _, node := range live {
 			fill := -given[node]
 			for i := range waits[node] {
-				if d := &waits[node][i]; d.Allows(s.GetType(), s.GetZone(), s.GetSpot()) && d.Need.Fits(cluster.SizeOf(kind)) {
+				if d := &waits[node][i]; d.Allows(s.GetType(), s.GetZone(), s.GetSpot()) && d.Need.Fits(cluster.MachineSize(kind)) {
 					fill += float64(d.Count) * d.Need.CPUs
 				}
 			}
@@ -320,7 +320,7 @@
 				fill = kind.CPUs
 			}
 			need := busy[node] / (8 + size[node])
-			if l.view.AreaOf(node) == s.GetZone() {
+			if l.view.ZoneOf(node) == s.GetZone() {
 				need *= 1.01
 			}
 			if fill > bestFill || (fill == bestFill && need > bestNeed) {
@@ -328,7 +328,7 @@
 			}
 		}
 		if best == "" {
-			return l.view.Me
+			return l.view.Self
 		}
 		size[best] += max(1, kind.CPUs)
 		given[best] += kind.CPUs
@@ -339,7 +339,7 @@
 // cpusOf is the size of a rented machine, as the leader knows it.
 func (l *Leader) cpusOf(name string) float64 {
 	if r := l.fleet.machines[name]; r != nil {
-		return l.view.Types[r.kind].CPUs
+		return l.view.MachineTypes[r.kind].CPUs
 	}
 	return 0
 }
@@ -354,11 +354,11 @@
 	if l.view.Lease.Form >= 2 {
 		return true
 	}
-	if l.view.Cfg.Cluster.State.TxnOps < leasevalue.LeastOps {
+	if l.view.Settings.Cluster.State.TxnOps < leasevalue.MinTxnOpsForPages {
 		return false
 	}
 	for _, p := range l.view.Peers {
-		if p.Form < 2 {
+		if p.LeaseForm < 2 {
 			return false
 		}
 	}
@@ -372,7 +372,7 @@
 	if rec.Form >= 2 || !l.mayPage() {
 		return
 	}
-	if float64(l.plainSize()) > formPart*1024*l.view.Cfg.Cluster.State.ValueKB {
+	if float64(l.plainSize()) > formPart*1024*l.view.Settings.Cluster.State.ValueKB {
 		rec.Form = 2
 		l.log.Info("lease value is stored with pages from now on")
 	}
--- a/internal/core/leader/shares.go
+++ b/internal/core/leader/shares.go
@@ -5,7 +5,7 @@
 
 	"fawncove/internal/config"
 	"fawncove/internal/core/cluster"
-	"fawncove/internal/core/share"
+	"fawncove/internal/core/quota"
 	"fawncove/internal/peerpb"
 	"fawncove/internal/wire"
 )
@@ -65,7 +65,7 @@
 }
 
 // Trade looks whether shares are worth a write of their own.
-func (l *Leader) Trade() {
+func (l *Leader) RequestQuotaPublish() {
 	rec := l.view.Lease.Clone()
 	l.dirty = l.dirty || l.raiseShares(&rec)
 }
@@ -74,17 +74,17 @@
 // tells whether that is worth a write of its own.
 func (l *Leader) raiseShares(rec *wire.LeaseRecord) bool {
 	worth := false
-	own := l.local.Uses()
+	own := l.local.TeamUse()
 	for _, team := range cluster.SortedKeys(rec.Shares) {
 		shares, limit := rec.Shares[team], l.view.LimitOf(team)
-		cpus, cards := l.view.Needs(rec.Partitions, shares, team, own, l.loop.Now)
+		cpus, cards := l.view.QuotaNeeds(rec.Partitions, shares, team, own, l.loop.Now)
 		for node := range cpus {
 			if _, ok := rec.Blocks[node]; !ok {
 				delete(cpus, node)
 				delete(cards, node)
 			}
 		}
-		raise := func(limit float64, needs map[string]share.Need, get func(wire.Share) int, set func(*wire.Share, int)) {
+		raise := func(limit float64, needs map[string]quota.Need, get func(wire.Share) int, set func(*wire.Share, int)) {
 			if limit <= 0 {
 				return
 			}
@@ -92,7 +92,7 @@
 			for node, s := range shares {
 				now[node] = get(s)
 			}
-			next, much := share.Raise(int(limit), now, share.Targets(math.Floor(limit), needs), needs)
+			next, much := quota.GrantFree(int(limit), now, quota.Targets(math.Floor(limit), needs), needs)
 			worth = worth || much
 			for node, n := range next {
 				s := shares[node]
@@ -101,7 +101,7 @@
 			}
 		}
 		raise(limit.CPUs, cpus, func(s wire.Share) int { return s.CPUs }, func(s *wire.Share, n int) { s.CPUs = n })
-		raise(limit.Cards, cards, func(s wire.Share) int { return s.GPUs }, func(s *wire.Share, n int) { s.GPUs = n })
+		raise(limit.GPUs, cards, func(s wire.Share) int { return s.GPUs }, func(s *wire.Share, n int) { s.GPUs = n })
 	}
 	return worth
 }
--- a/internal/core/leasevalue/golden_test.go
+++ b/internal/core/leasevalue/golden_test.go
@@ -25,12 +25,12 @@
 			if form == Form {
 				rec.Level, rec.Confirmed, rec.Generation = 2, 1, 3
 			}
-			var book Book
+			var book PageTable
 			draft, err := book.Write(&rec, Limits{ValueBytes: 4096, TxnOps: 12})
 			if err != nil {
 				t.Fatal(err)
 			}
-			var read Book
+			var read PageTable
 			for i := len(draft.Ops) - 1; i >= 0; i-- { // the pages, then the value
 				encoded, err := wire.Encode(draft.Ops[i].Value)
 				if err != nil {
--- a/internal/core/leasevalue/leasevalue.go
+++ b/internal/core/leasevalue/leasevalue.go
@@ -11,7 +11,7 @@
 // thousands of machines rewrites no page: the value says whose they are.
 //
 // Earlier versions cannot read form 2 and are granted nothing by it. Form 3 adds
-// the level of the cluster (package gate) and the generation of the state; what
+// the level of the cluster (package feature) and the generation of the state; what
 // it holds that this version does not know is kept by who writes it again.
 package leasevalue
 
@@ -34,7 +34,7 @@
 	Form      = 3
 	FormPages = 2
 	// LeastOps is how many changes a transaction has to take for pages.
-	LeastOps = reserve + 4
+	MinTxnOpsForPages = reserve + 4
 	// PagePrefix is the prefix of the pages' keys; a number follows.
 	PagePrefix = "fc/m/"
 )
@@ -52,7 +52,7 @@
 	// inlinePart is from which part of the value's size on the largest sets
 	// are moved to pages, and FullPart what a value may take at most.
 	inlinePart = 0.5
-	FullPart   = 0.9
+	MaxFill    = 0.9
 	// perName is about how many bytes of text a name takes, where names follow
 	// each other with gaps of up to a hundred.
 	perName = 1.5
@@ -65,27 +65,27 @@
 // case: pages half full, names three bytes apart, recalls and shares for all
 // teams on all controllers. Where a transaction takes too few changes for pages
 // the names stand in the value.
-func Room(lim Limits, controllers, teams int) int {
-	free := FullPart*float64(lim.ValueBytes) - 300*float64(controllers)
-	if lim.TxnOps < LeastOps {
+func Capacity(lim Limits, controllers, teams int) int {
+	free := MaxFill*float64(lim.ValueBytes) - 300*float64(controllers)
+	if lim.TxnOps < MinTxnOpsForPages {
 		return max(0, int(free/3))
 	}
 	const reference, share = 14, 11 // bytes of a page's place, of a share and its part
-	free -= float64(teams*controllers*share) + 3*float64(RecallsMost(lim))
+	free -= float64(teams*controllers*share) + 3*float64(MaxDraining(lim))
 	return max(0, int(free/reference*pagePart*float64(lim.ValueBytes)/6))
 }
 
 // RecallsMost is how many machines may be recalled at a time: unlike all
 // others, their names stand in the value itself, at up to three bytes each.
-func RecallsMost(lim Limits) int { return lim.ValueBytes / 20 }
+func MaxDraining(lim Limits) int { return lim.ValueBytes / 20 }
 
 // Errors of reading and writing.
 var (
 	// ErrMissing says that a page the value names is not known here, or not
 	// in that edition: the pages have to be read.
-	ErrMissing = errors.New("lease value: a page is missing")
+	ErrPageMissing = errors.New("lease value: a page is missing")
 	// ErrFull says that the record does not fit within the limits.
-	ErrFull = errors.New("lease value: full")
+	ErrTooLarge = errors.New("lease value: full")
 )
 
 // head is the value in forms 2 and 3. Its sets are maps, which form 1 does not
@@ -144,9 +144,9 @@
 
 // Book keeps the pages as far as they are known, and which of them the last
 // value named. The zero value is empty.
-type Book struct {
+type PageTable struct {
 	// Before reads forms from before levels only, as earlier versions do.
-	Before bool
+	PreLevels bool
 
 	pages  map[int]page
 	used   map[int]uint64 // by the last value, in that edition
@@ -174,7 +174,7 @@
 
 // Read reads a value. It returns ErrMissing when pages have to be read first;
 // any other error means that the value cannot be read and grants nothing.
-func (b *Book) Read(value []byte) (wire.LeaseRecord, error) {
+func (b *PageTable) Read(value []byte) (wire.LeaseRecord, error) {
 	var rec wire.LeaseRecord
 	var f form
 	if err := wire.Decode(value, &f); err != nil {
@@ -189,7 +189,7 @@
 		return rec, nil
 	case 2:
 	default:
-		if f.Form != Form || b.Before {
+		if f.Form != Form || b.PreLevels {
 			return rec, wire.FormError{What: "lease value", Form: f.Form}
 		}
 	}
@@ -252,14 +252,14 @@
 }
 
 // take collects a set's names from the value and its pages.
-func (b *Book) take(key setKey, s *set, to *wire.NameSet) (used []int, err error) {
+func (b *PageTable) take(key setKey, s *set, to *wire.NameSet) (used []int, err error) {
 	if len(s.Pages)%2 != 0 {
 		return nil, errors.New("lease value: half a page reference")
 	}
 	for i := 0; i < len(s.Pages); i += 2 {
 		n := int(s.Pages[i])
 		if p, ok := b.pages[n]; !ok || p.edition != s.Pages[i+1] {
-			return nil, fmt.Errorf("%w: %d in edition %d", ErrMissing, n, s.Pages[i+1])
+			return nil, fmt.Errorf("%w: %d in edition %d", ErrPageMissing, n, s.Pages[i+1])
 		}
 		used = append(used, n)
 	}
@@ -285,7 +285,7 @@
 }
 
 // note remembers which pages the last value names.
-func (b *Book) note(used []int) {
+func (b *PageTable) note(used []int) {
 	now := make(map[int]uint64, len(used))
 	for _, n := range used {
 		now[n] = b.pages[n].edition
@@ -317,7 +317,7 @@
 
 // ReadPage takes a page that was read or seen to change. It reports whether
 // the key is a page's.
-func (b *Book) ReadPage(key string, value []byte) (bool, error) {
+func (b *PageTable) ReadPage(key string, value []byte) (bool, error) {
 	num, ok := strings.CutPrefix(key, PagePrefix)
 	if !ok {
 		return false, nil
@@ -340,7 +340,7 @@
 	return true, nil
 }
 
-func (b *Book) put(n int, p page) {
+func (b *PageTable) put(n int, p page) {
 	if b.pages == nil {
 		b.pages = map[int]page{}
 	}
@@ -354,7 +354,7 @@
 }
 
 // Page tells which page names a machine; ok is false when none does.
-func (b *Book) Page(name string) (n int, ok bool) {
+func (b *PageTable) PageOf(name string) (n int, ok bool) {
 	n, ok = b.pageOf[name]
 	return n, ok
 }
--- a/internal/core/leasevalue/leasevalue_test.go
+++ b/internal/core/leasevalue/leasevalue_test.go
@@ -48,8 +48,8 @@
 }
 
 // readAll reads the value as a controller does that has just started.
-func (s *shelf) readAll() (*Book, wire.LeaseRecord, error) {
-	b := &Book{}
+func (s *shelf) readAll() (*PageTable, wire.LeaseRecord, error) {
+	b := &PageTable{}
 	for key, raw := range s.values {
 		if _, err := b.ReadPage(key, raw); err != nil {
 			return b, wire.LeaseRecord{}, err
@@ -110,7 +110,7 @@
 
 // grow stores a large record in as many transactions as it takes, as a leader
 // does whose machines join as they come up.
-func grow(t testing.TB, s *shelf, b *Book, rec *wire.LeaseRecord, lim Limits) {
+func grow(t testing.TB, s *shelf, b *PageTable, rec *wire.LeaseRecord, lim Limits) {
 	t.Helper()
 	part := *rec
 	part.Blocks = map[string]wire.Block{}
@@ -120,10 +120,10 @@
 	}
 	for done := false; !done; {
 		done = true
-		budget := b.Budget(lim)
+		budget := b.WriteBudget(lim)
 		for node, blk := range rec.Blocks {
 			mine := part.Blocks[node]
-			for len(mine.Machines) < len(blk.Machines) && budget.Join(node) {
+			for len(mine.Machines) < len(blk.Machines) && budget.AddMachine(node) {
 				mine.Machines = append(mine.Machines, blk.Machines[len(mine.Machines)])
 			}
 			done = done && len(mine.Machines) == len(blk.Machines)
@@ -135,14 +135,14 @@
 	rec.Sequence = part.Sequence
 }
 
-func write(t testing.TB, s *shelf, b *Book, rec *wire.LeaseRecord, lim Limits) *Draft {
+func write(t testing.TB, s *shelf, b *PageTable, rec *wire.LeaseRecord, lim Limits) *PendingWrite {
 	t.Helper()
 	d, err := b.Write(rec, lim)
 	if err != nil {
 		t.Fatal(err)
 	}
 	s.apply(t, lim, d.Ops)
-	d.Stored()
+	d.Commit()
 	return d
 }
 
@@ -154,18 +154,18 @@
 		r := rand.New(rand.NewPCG(seed, 3))
 		lim := Limits{ValueBytes: 4096, TxnOps: 8 + r.IntN(8)}
 		s := &shelf{values: map[string][]byte{}}
-		writer, watcher := &Book{}, &Book{}
+		writer, watcher := &PageTable{}, &PageTable{}
 		rec := fleet(3+r.IntN(3), 0)
 		next := 0
 		for step := range 120 {
-			budget := writer.Budget(lim)
+			budget := writer.WriteBudget(lim)
 			nodes := slices.Sorted(maps.Keys(rec.Blocks))
 			node := nodes[r.IntN(len(nodes))]
 			blk := rec.Blocks[node]
 			switch r.IntN(10) {
 			case 0, 1, 2:
 				for range r.IntN(120) {
-					if !budget.Join(node) {
+					if !budget.AddMachine(node) {
 						break
 					}
 					next += 1 + r.IntN(1+r.IntN(40))
@@ -174,7 +174,7 @@
 			case 3, 4:
 				share := r.IntN(100)
 				for _, set := range sets(&blk)[:2] {
-					*set = slices.DeleteFunc(slices.Clone(*set), func(n string) bool { return r.IntN(100) < share && budget.Leave(n) })
+					*set = slices.DeleteFunc(slices.Clone(*set), func(n string) bool { return r.IntN(100) < share && budget.RemoveMachine(n) })
 				}
 				blk.Draining = nil
 			case 5: // taken over, as a whole
@@ -242,9 +242,9 @@
 func TestMissingPageGrantsNothing(t *testing.T) {
 	lim := Limits{ValueBytes: 4096, TxnOps: 12}
 	s := &shelf{values: map[string][]byte{}}
-	b, rec := &Book{}, fleet(5, 4000)
+	b, rec := &PageTable{}, fleet(5, 4000)
 	grow(t, s, b, rec, lim)
-	if _, err := (&Book{}).Read(s.values[Key]); !errors.Is(err, ErrMissing) {
+	if _, err := (&PageTable{}).Read(s.values[Key]); !errors.Is(err, ErrPageMissing) {
 		t.Errorf("without any page: %v", err)
 	}
 	old := map[string][]byte{}
@@ -264,11 +264,11 @@
 		mixed.values[k] = v
 	}
 	mixed.values[Key] = s.values[Key]
-	if _, _, err := mixed.readAll(); !errors.Is(err, ErrMissing) {
+	if _, _, err := mixed.readAll(); !errors.Is(err, ErrPageMissing) {
 		t.Errorf("a page of an earlier edition: %v", err)
 	}
 	mixed.values[Key], mixed.values[d.Ops[1].Put] = old[Key], s.values[d.Ops[1].Put]
-	if _, _, err := mixed.readAll(); !errors.Is(err, ErrMissing) {
+	if _, _, err := mixed.readAll(); !errors.Is(err, ErrPageMissing) {
 		t.Errorf("a page of a later edition: %v", err)
 	}
 	mixed.values[d.Ops[1].Put] = []byte{0xc1}
@@ -286,10 +286,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got, err := (&Book{}).Read(raw); err != nil || !same(&got, rec) {
+	if got, err := (&PageTable{}).Read(raw); err != nil || !same(&got, rec) {
 		t.Errorf("form 1: %+v, %v", got, err)
 	}
-	d, err := (&Book{}).Write(fleet(5, 60), Limits{ValueBytes: 4096, TxnOps: 12})
+	d, err := (&PageTable{}).Write(fleet(5, 60), Limits{ValueBytes: 4096, TxnOps: 12})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -303,7 +303,7 @@
 	if raw, err = wire.Encode(map[string]any{"form": Form + 1}); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := (&Book{}).Read(raw); err == nil || !errors.As(err, new(wire.FormError)) {
+	if _, err := (&PageTable{}).Read(raw); err == nil || !errors.As(err, new(wire.FormError)) {
 		t.Errorf("a form to come: %v", err)
 	}
 }
@@ -318,14 +318,14 @@
 		t.Fatal(err)
 	}
 	rec.Unknown = wire.Fields{"later": future}
-	s, b := &shelf{values: map[string][]byte{}}, &Book{}
+	s, b := &shelf{values: map[string][]byte{}}, &PageTable{}
 	for range 3 { // read and written again and again
 		d, err := b.Write(rec, Limits{ValueBytes: 4096, TxnOps: 12})
 		if err != nil {
 			t.Fatal(err)
 		}
 		s.apply(t, Limits{ValueBytes: 4096, TxnOps: 12}, d.Ops)
-		d.Stored()
+		d.Commit()
 		_, got, err := s.readAll()
 		if err != nil || !same(&got, rec) || got.Level != 2 || got.Confirmed != 1 || got.Generation != 7 {
 			t.Fatalf("%+v, %v", got, err)
@@ -336,7 +336,7 @@
 		rec = &got
 		rec.Sequence++
 	}
-	if _, err := (&Book{Before: true}).Read(s.values[Key]); !errors.As(err, new(wire.FormError)) {
+	if _, err := (&PageTable{PreLevels: true}).Read(s.values[Key]); !errors.As(err, new(wire.FormError)) {
 		t.Errorf("from before levels: %v", err)
 	}
 }
@@ -348,18 +348,18 @@
 	lim := Limits{ValueBytes: 4096, TxnOps: 12}
 	for _, controllers := range []int{5, 9} {
 		s := &shelf{values: map[string][]byte{}}
-		b, rec := &Book{}, fleet(controllers, 10000)
+		b, rec := &PageTable{}, fleet(controllers, 10000)
 		grow(t, s, b, rec, lim)
 		steady := s.wrote
 		// A wave takes every third machine, as fast as transactions allow.
 		writes := 0
 		for left := true; left; writes++ {
 			left = false
-			budget := b.Budget(lim)
+			budget := b.WriteBudget(lim)
 			for node, blk := range rec.Blocks {
 				blk.Machines = slices.DeleteFunc(slices.Clone(blk.Machines), func(n string) bool {
 					gone := n[len(n)-1]%3 == 0
-					ok := gone && budget.Leave(n)
+					ok := gone && budget.RemoveMachine(n)
 					left = left || (gone && !ok)
 					return ok
 				})
@@ -395,12 +395,12 @@
 }
 
 // atSizes stores fleets of several sizes and runs f on each.
-func atSizes(b *testing.B, f func(b *testing.B, s *shelf, book *Book, rec *wire.LeaseRecord, lim Limits)) {
+func atSizes(b *testing.B, f func(b *testing.B, s *shelf, book *PageTable, rec *wire.LeaseRecord, lim Limits)) {
 	for _, n := range []int{1000, 4000, 10000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			lim := Limits{ValueBytes: 4096, TxnOps: 12}
 			s := &shelf{values: map[string][]byte{}}
-			book, rec := &Book{}, fleet(5, n)
+			book, rec := &PageTable{}, fleet(5, n)
 			grow(b, s, book, rec, lim)
 			f(b, s, book, rec, lim)
 			b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N)/float64(n), "ns/machine")
@@ -410,7 +410,7 @@
 
 // BenchmarkWrite stores a fleet of which one machine has left and one joined.
 func BenchmarkWrite(b *testing.B) {
-	atSizes(b, func(b *testing.B, s *shelf, book *Book, rec *wire.LeaseRecord, lim Limits) {
+	atSizes(b, func(b *testing.B, s *shelf, book *PageTable, rec *wire.LeaseRecord, lim Limits) {
 		for next := 900000; b.Loop(); next++ {
 			blk := rec.Blocks["stall-3"]
 			blk.Machines = append(slices.Clone(blk.Machines[1:]), names(next, next+1)...)
@@ -420,14 +420,14 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			d.Stored()
+			d.Commit()
 		}
 	})
 }
 
 // BenchmarkRead reads the value with all its pages known.
 func BenchmarkRead(b *testing.B) {
-	atSizes(b, func(b *testing.B, s *shelf, book *Book, _ *wire.LeaseRecord, _ Limits) {
+	atSizes(b, func(b *testing.B, s *shelf, book *PageTable, _ *wire.LeaseRecord, _ Limits) {
 		for b.Loop() {
 			if _, err := book.Read(s.values[Key]); err != nil {
 				b.Fatal(err)
--- a/internal/core/leasevalue/write.go
+++ b/internal/core/leasevalue/write.go
@@ -12,16 +12,16 @@
 )
 
 // Draft is a record made ready to be stored.
-type Draft struct {
+type PendingWrite struct {
 	Ops   []wire.Op // the value and the pages that change
 	Bytes int       // of the value, about, as its size is counted
-	book  *Book
+	book  *PageTable
 	pages map[int]page
 	used  []int
 }
 
 // Stored notes that the draft's transaction was carried out.
-func (d *Draft) Stored() {
+func (d *PendingWrite) Commit() {
 	for n, p := range d.pages {
 		d.book.put(n, p)
 	}
@@ -46,8 +46,8 @@
 }
 
 // Budget counts the changes that a next draft may still take.
-type Budget struct {
-	book    *Book
+type WriteBudget struct {
+	book    *PageTable
 	lim     Limits
 	left    int
 	touched map[int]bool
@@ -55,19 +55,19 @@
 }
 
 // Budget returns the budget of one transaction that also writes the value.
-func (b *Book) Budget(lim Limits) *Budget {
-	return &Budget{book: b, lim: lim, left: max(1, lim.TxnOps-1-reserve), touched: map[int]bool{}, fresh: map[string]int{}}
+func (b *PageTable) WriteBudget(lim Limits) *WriteBudget {
+	return &WriteBudget{book: b, lim: lim, left: max(1, lim.TxnOps-1-reserve), touched: map[int]bool{}, fresh: map[string]int{}}
 }
 
 // Close takes what is left: what can wait, waits. A write with nothing but
 // takeovers always fits, as sets small enough to stand in the value fit on a few
 // pages.
-func (g *Budget) Close() { g.left = 0 }
+func (g *WriteBudget) Exhaust() { g.left = 0 }
 
 // Leave takes what it costs that a machine leaves its set, and tells whether
 // there was enough.
-func (g *Budget) Leave(name string) bool {
-	n, ok := g.book.Page(name)
+func (g *WriteBudget) RemoveMachine(name string) bool {
+	n, ok := g.book.PageOf(name)
 	if !ok || g.touched[n] {
 		return true
 	}
@@ -81,7 +81,7 @@
 
 // Join takes what it costs that a machine joins a controller's set, and tells
 // whether there was enough.
-func (g *Budget) Join(node string) bool {
+func (g *WriteBudget) AddMachine(node string) bool {
 	per := int(pagePart * float64(g.lim.ValueBytes) / perName / 2)
 	if g.fresh[node]%max(1, per) == 0 {
 		if g.left == 0 {
@@ -95,9 +95,9 @@
 
 // Write makes a record ready to be stored in its form, 2 or 3, with as few changes as
 // can be. It returns ErrFull when the record does not fit.
-func (b *Book) Write(rec *wire.LeaseRecord, lim Limits) (*Draft, error) {
+func (b *PageTable) Write(rec *wire.LeaseRecord, lim Limits) (*PendingWrite, error) {
 	most := int(pagePart * float64(lim.ValueBytes))
-	d := &Draft{book: b, pages: map[int]page{}}
+	d := &PendingWrite{book: b, pages: map[int]page{}}
 	groups := b.group(rec)
 	// A page belongs to one set. Where its names have parted, the set with
 	// most of them keeps it and the others take theirs along as fresh ones.
@@ -140,7 +140,7 @@
 		}
 		d.pages[n] = page{rec.Sequence, names}
 		if len(d.pages) > lim.TxnOps-1 {
-			return fmt.Errorf("%w: more than %d changes", ErrFull, lim.TxnOps)
+			return fmt.Errorf("%w: more than %d changes", ErrTooLarge, lim.TxnOps)
 		}
 		return nil
 	}
@@ -175,8 +175,8 @@
 		}
 		inline = inline[1:]
 	}
-	if d.Bytes > int(FullPart*float64(lim.ValueBytes)) {
-		return nil, fmt.Errorf("%w: %d bytes", ErrFull, d.Bytes)
+	if d.Bytes > int(MaxFill*float64(lim.ValueBytes)) {
+		return nil, fmt.Errorf("%w: %d bytes", ErrTooLarge, d.Bytes)
 	}
 	for _, g := range groups {
 		d.used = append(d.used, slices.Collect(maps.Keys(g.pages))...)
@@ -197,7 +197,7 @@
 }
 
 // group sorts the names of all sets by the page that they are on.
-func (b *Book) group(rec *wire.LeaseRecord) []*group {
+func (b *PageTable) group(rec *wire.LeaseRecord) []*group {
 	var out []*group
 	for _, node := range slices.Sorted(maps.Keys(rec.Blocks)) {
 		blk := rec.Blocks[node]
@@ -225,7 +225,7 @@
 
 // fill puts a group's fresh names on its page with most room, and on new ones
 // when that is full, and makes one of two small pages.
-func (b *Book) fill(g *group, most int, free func() int, write func(int, []string) error) error {
+func (b *PageTable) fill(g *group, most int, free func() int, write func(int, []string) error) error {
 	room := func(names []string) int { return most - len(wire.PackNames(names)) }
 	order := slices.Sorted(maps.Keys(g.pages))
 	open, best := -1, 0
@@ -269,7 +269,7 @@
 			n /= 2
 		}
 		if n == 0 && len(names) == 0 {
-			return fmt.Errorf("%w: a name does not fit on a page", ErrFull)
+			return fmt.Errorf("%w: a name does not fit on a page", ErrTooLarge)
 		}
 		g.pages[open] = names
 		g.fresh = g.fresh[n:]
@@ -329,7 +329,7 @@
 }
 
 // size puts the sets into the value as they stand and tells its size.
-func (b *Book) size(h *head, groups []*group, d *Draft, rec *wire.LeaseRecord) (int, error) {
+func (b *PageTable) size(h *head, groups []*group, d *PendingWrite, rec *wire.LeaseRecord) (int, error) {
 	h.Blocks = make(map[string]headBlock, len(rec.Blocks))
 	for _, g := range groups {
 		blk := rec.Blocks[g.node]
--- a/internal/core/owner/bench_test.go
+++ b/internal/core/owner/bench_test.go
@@ -24,10 +24,10 @@
 			mayStart(o)
 			for i, name := range names {
 				m := o.machines[name]
-				m.kind, m.zone, m.spot, m.session, m.endpoint, m.size = "s4", "x", true, 1, "10.0.0.1:9000", sched.Amount{CPUs: 8, MemoryGB: 32}
+				m.kind, m.zone, m.spot, m.session, m.endpoint, m.size = "s4", "x", true, 1, "10.0.0.1:9000", sched.Resources{CPUs: 8, MemoryGB: 32}
 				if i%25 == 0 {
-					o.Put(wire.JobRecord{Job: wire.Job{ID: fmt.Sprintf("wk-%06d", i), Class: "c", Team: "red", Shape: wire.Array, Priority: "standard",
-						Tasks: 150, CPUs: 4, MemoryGB: 4, Spot: true, EstimateS: 60, Image: "img", ImageGB: 1}}, Stamp{Version: uint64(10 + i)})
+					o.ApplyJob(wire.JobRecord{Job: wire.Job{ID: fmt.Sprintf("wk-%06d", i), Class: "c", Team: "red", Shape: wire.Array, Priority: "standard",
+						Tasks: 150, CPUs: 4, MemoryGB: 4, Spot: true, EstimateS: 60, Image: "img", ImageGB: 1}}, RecordInfo{Version: uint64(10 + i)})
 				}
 			}
 			o.place()
--- a/internal/core/owner/fleet_test.go
+++ b/internal/core/owner/fleet_test.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"fawncove/internal/config"
-	"fawncove/internal/core/step"
+	"fawncove/internal/core/eventloop"
 	"fawncove/internal/wire"
 )
 
@@ -23,7 +23,7 @@
 	var all []*machine
 	for i, name := range names {
 		all = append(all, o.machines[name])
-		report(o, now, step.ReportIn{Req: uint64(i), Report: reportOf(all[i], 1, 1, all[i].fence)})
+		report(o, now, eventloop.HeartbeatRequest{Req: uint64(i), Heartbeat: reportOf(all[i], 1, 1, all[i].fence)})
 	}
 	return o, all, now
 }
@@ -35,7 +35,7 @@
 	for offset := range 8 { // of the moments at which the tasks beside it end
 		o, all, now := block(t, 2)
 		replica := putArray(o, "wk-000001", "production", 1, 1, now)
-		replica.Rec.Shape = wire.Daemon
+		replica.Record.Shape = wire.Daemon
 		o.start(replica, all[0])
 		putArray(o, "wk-000002", "urgent", 3000, 1, now)
 		wide := putArray(o, "wk-000003", "idle", 1, 4, now)
@@ -43,7 +43,7 @@
 		begun := time.Duration(0)
 		for s := 1; s < 120 && begun == 0; s++ {
 			at := now.Add(time.Duration(s) * time.Second)
-			o.Known(o.view.Version, at)
+			o.ChangesKnown(o.view.LeaseVersion, at)
 			o.loop.Begin(at)
 			mayStart(o)
 			for _, m := range all {
@@ -58,7 +58,7 @@
 					}
 					tasks = append(tasks, x)
 				}
-				report(o, at, step.ReportIn{Req: 1, Report: reportOf(m, 1, uint64(s+1), o.tokenFor(m), tasks...)})
+				report(o, at, eventloop.HeartbeatRequest{Req: 1, Heartbeat: reportOf(m, 1, uint64(s+1), o.tokenFor(m), tasks...)})
 			}
 			tick(o, at.Add(200*time.Millisecond))
 			if wide.begun {
@@ -66,7 +66,7 @@
 			}
 		}
 		if bound := o.overdueAfter() + 15*time.Second; begun == 0 || begun > bound {
-			t.Errorf("offset %d: %s began after %v (0s: not within 120 s), room was kept on %q; the bound is %v", offset, wide.Rec.ID, begun, wide.keeps, bound)
+			t.Errorf("offset %d: %s began after %v (0s: not within 120 s), room was kept on %q; the bound is %v", offset, wide.Record.ID, begun, wide.keeps, bound)
 		}
 	}
 }
@@ -91,11 +91,11 @@
 		return nil
 	}
 	one, two := on(j), on(other)
-	o.End(j)
-	w := o.view.Cfg.Cluster.Workers
+	o.EndJob(j)
+	w := o.view.Settings.Cluster.Workers
 	for s := 1; s < 60 && !one.lost; s++ {
 		at := now.Add(time.Duration(s) * time.Second)
-		o.Known(o.view.Version, at)
+		o.ChangesKnown(o.view.LeaseVersion, at)
 		tick(o, at)
 		if waits := at.Sub(now); waits > config.Seconds(w.LeaseS)+3*time.Second {
 			t.Errorf("not given up %v after it fell silent, %v before its user may expect the task to be gone", waits, config.Seconds(w.CancelS)-waits)
@@ -120,14 +120,14 @@
 	kept, came, waits := time.Duration(0), time.Duration(0), time.Duration(0)
 	for s := 1; s < 240 && waits == 0; s++ {
 		at := now.Add(time.Duration(s) * time.Second)
-		o.Known(o.view.Version, at)
+		o.ChangesKnown(o.view.LeaseVersion, at)
 		o.loop.Begin(at)
 		mayStart(o)
 		var tasks []wire.TaskStatus
 		for _, key := range sortedRuns(m) {
 			tasks = append(tasks, wire.TaskStatus{Task: key.task, Attempt: key.attempt, State: wire.TaskRunning})
 		}
-		report(o, at, step.ReportIn{Req: 1, Report: reportOf(m, 1, uint64(s+1), o.tokenFor(m), tasks...)})
+		report(o, at, eventloop.HeartbeatRequest{Req: 1, Heartbeat: reportOf(m, 1, uint64(s+1), o.tokenFor(m), tasks...)})
 		tick(o, at.Add(200*time.Millisecond))
 		if wide.keeps != "" && kept == 0 {
 			kept = at.Sub(now)
@@ -154,7 +154,7 @@
 	attempts, again := map[uint64]bool{}, time.Duration(0)
 	for s := 1; s < 120 && again == 0; s++ {
 		at := now.Add(time.Duration(s) * time.Second)
-		o.Known(o.view.Version, at)
+		o.ChangesKnown(o.view.LeaseVersion, at)
 		o.loop.Begin(at)
 		mayStart(o)
 		var tasks []wire.TaskStatus
@@ -164,10 +164,10 @@
 			}
 			tasks = append(tasks, wire.TaskStatus{Task: key.task, Attempt: key.attempt, State: wire.TaskEnded, Reason: wire.ReasonError})
 		}
-		report(o, at, step.ReportIn{Req: 1, Report: reportOf(m, 1, uint64(s+1), o.tokenFor(m), tasks...)})
+		report(o, at, eventloop.HeartbeatRequest{Req: 1, Heartbeat: reportOf(m, 1, uint64(s+1), o.tokenFor(m), tasks...)})
 		tick(o, at.Add(200*time.Millisecond))
 	}
 	if again < 50*time.Second || again > 90*time.Second {
-		t.Errorf("%s is tried again on %s after %v (0s: never)", j.Rec.ID, m.name, again)
+		t.Errorf("%s is tried again on %s after %v (0s: never)", j.Record.ID, m.name, again)
 	}
 }
--- a/internal/core/owner/forget_test.go
+++ b/internal/core/owner/forget_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"fawncove/internal/core/step"
+	"fawncove/internal/core/eventloop"
 	"fawncove/internal/wire"
 )
 
@@ -20,11 +20,11 @@
 	stored, writes := false, 0
 	for s := 1; s < 20; s++ {
 		at := now.Add(time.Duration(s) * time.Second)
-		o.Known(o.view.Version, at)
-		report(o, at, step.ReportIn{Req: uint64(s), Report: reportOf(m, 1, uint64(s), o.tokenFor(m), done)})
+		o.ChangesKnown(o.view.LeaseVersion, at)
+		report(o, at, eventloop.HeartbeatRequest{Req: uint64(s), Heartbeat: reportOf(m, 1, uint64(s), o.tokenFor(m), done)})
 		forgotten := false
 		for _, e := range o.loop.Effects() {
-			if r, ok := e.(step.Reply); ok {
+			if r, ok := e.(eventloop.Reply); ok {
 				forgotten = slices.ContainsFunc(r.Body.(wire.HeartbeatAnswer).Commands, func(c wire.Command) bool { return c.Op == wire.CommandForget })
 			}
 		}
@@ -32,18 +32,18 @@
 			t.Fatalf("after %d s, %d writes: %s is told to forget %s: %v, its completion is stored: %v", s, writes, m.name, done.Task, forgotten, stored)
 		}
 		for _, e := range tick(o, at.Add(300*time.Millisecond)) {
-			x, ok := e.(step.StateTxn)
+			x, ok := e.(eventloop.StateTxn)
 			if !ok || len(x.Txn.Then) == 0 || !strings.HasPrefix(x.Txn.Then[0].Put, PagePrefix) {
 				continue
 			}
-			c := step.Completed{ID: x.ID, State: true} // the first write gets no answer
+			c := eventloop.Completion{ID: x.ID, FromStateService: true} // the first write gets no answer
 			if writes++; writes > 1 {
 				c.Status, c.Txn.Revision, stored = 200, 9, true
 			}
 			complete(o, at.Add(600*time.Millisecond), c)
 			for _, e := range o.loop.Effects() { // it is read, and not there
-				if x, ok := e.(step.StateGet); ok && strings.HasPrefix(x.Key, PagePrefix) {
-					complete(o, at.Add(700*time.Millisecond), step.Completed{ID: x.ID, State: true, Status: 404})
+				if x, ok := e.(eventloop.StateGet); ok && strings.HasPrefix(x.Key, PagePrefix) {
+					complete(o, at.Add(700*time.Millisecond), eventloop.Completion{ID: x.ID, FromStateService: true, Status: 404})
 				}
 			}
 		}
--- a/internal/core/owner/guards_test.go
+++ b/internal/core/owner/guards_test.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"fawncove/internal/config"
-	"fawncove/internal/core/step"
+	"fawncove/internal/core/eventloop"
 	"fawncove/internal/wire"
 )
 
@@ -27,8 +27,8 @@
 
 // putArray accepts an array.
 func putArray(o *Owner, id, priority string, tasks int, cpus float64, at time.Time) *Job {
-	o.Put(wire.JobRecord{Job: wire.Job{ID: id, Team: "free", Shape: wire.Array, Priority: priority, Tasks: tasks, CPUs: cpus, Spot: true},
-		SubmittedAtMs: at.UnixMilli()}, Stamp{Version: 6})
+	o.ApplyJob(wire.JobRecord{Job: wire.Job{ID: id, Team: "free", Shape: wire.Array, Priority: priority, Tasks: tasks, CPUs: cpus, Spot: true},
+		SubmittedAtMs: at.UnixMilli()}, RecordInfo{Version: 6})
 	return o.jobs[id]
 }
 
@@ -47,22 +47,22 @@
 		tasks := []wire.TaskStatus{{Task: "wk-000001/0", Attempt: 5, State: wire.TaskEnded, Reason: wire.ReasonDone},
 			{Task: "wk-000001/1", Attempt: 6, State: wire.TaskRunning}}
 		heard := m.heard
-		report(o, now.Add(time.Second), step.ReportIn{Req: 1, Report: reportOf(m, 1, 90, m.fence-1, tasks...)})
+		report(o, now.Add(time.Second), eventloop.HeartbeatRequest{Req: 1, Heartbeat: reportOf(m, 1, 90, m.fence-1, tasks...)})
 		if m.heard != heard || m.session != 0 || o.usable(m) || j.doneCount > 0 || len(j.runs) > 0 || len(m.runs) > 0 || m.dirty != old {
 			t.Errorf("taken over: %v: the copy counted: %+v, %d done, %d runs", old, m, j.doneCount, len(j.runs))
 		}
-		report(o, now.Add(2*time.Second), step.ReportIn{Req: 2, Report: reportOf(m, 1, 95, m.fence)})
+		report(o, now.Add(2*time.Second), eventloop.HeartbeatRequest{Req: 2, Heartbeat: reportOf(m, 1, 95, m.fence)})
 		if !m.hears() || m.seq != 95 || m.dirty {
 			t.Fatalf("a report that shows the token does not count: %+v", m)
 		}
 		runs := len(j.runs)
 		heard = m.heard
-		report(o, now.Add(3*time.Second), step.ReportIn{Req: 3, Report: reportOf(m, 1, 94, m.fence, tasks...)})
+		report(o, now.Add(3*time.Second), eventloop.HeartbeatRequest{Req: 3, Heartbeat: reportOf(m, 1, 94, m.fence, tasks...)})
 		if m.heard != heard || j.doneCount > 0 || len(j.runs) != runs {
 			t.Errorf("a copy of an older report counted: %+v, %d done", m, j.doneCount)
 		}
 		for _, e := range o.loop.Effects() {
-			if r, ok := e.(step.Reply); ok {
+			if r, ok := e.(eventloop.Reply); ok {
 				if a := r.Body.(wire.HeartbeatAnswer); len(a.Commands) > 0 {
 					t.Errorf("the copy is answered with %v", a.Commands)
 				}
@@ -77,21 +77,21 @@
 func TestDeafMachineIsLost(t *testing.T) {
 	for _, recovers := range []bool{false, true} {
 		o, m, now := oneMachine(t, false)
-		report(o, now, step.ReportIn{Req: 1, Report: reportOf(m, 1, 1, m.fence)})
+		report(o, now, eventloop.HeartbeatRequest{Req: 1, Heartbeat: reportOf(m, 1, 1, m.fence)})
 		putArray(o, "wk-000001", "standard", 1, 1, now)
 		token := m.token
 		for s := 1; s < 30; s++ {
 			at := now.Add(time.Duration(s) * time.Second)
-			o.Known(o.view.Version, at)
+			o.ChangesKnown(o.view.LeaseVersion, at)
 			for _, e := range tick(o, at) {
-				if d, ok := e.(step.Direct); ok {
-					complete(o, at.Add(500*time.Millisecond), step.Completed{ID: d.ID}) // no answer
+				if d, ok := e.(eventloop.WorkerCommands); ok {
+					complete(o, at.Add(500*time.Millisecond), eventloop.Completion{ID: d.ID}) // no answer
 				}
 			}
 			if recovers && s > 8 {
 				token = o.tokenFor(m)
 			}
-			report(o, at.Add(600*time.Millisecond), step.ReportIn{Req: uint64(s), Report: reportOf(m, 1, uint64(10+s), token)})
+			report(o, at.Add(600*time.Millisecond), eventloop.HeartbeatRequest{Req: uint64(s), Heartbeat: reportOf(m, 1, uint64(10+s), token)})
 			if s == 4 && o.usable(m) {
 				t.Error("has room though it did not answer a command")
 			}
@@ -122,7 +122,7 @@
 	seq := uint64(0)
 	for s := range 160 {
 		at := now.Add(time.Duration(s) * time.Second)
-		o.Known(o.view.Version, at)
+		o.ChangesKnown(o.view.LeaseVersion, at)
 		o.loop.Begin(at)
 		mayStart(o)
 		for _, name := range names {
@@ -132,7 +132,7 @@
 				tasks = append(tasks, wire.TaskStatus{Task: key.task, Attempt: key.attempt, State: wire.TaskEnded, Reason: why})
 			}
 			seq++
-			report(o, at, step.ReportIn{Req: seq, Report: reportOf(m, 1, seq, o.tokenFor(m), tasks...)})
+			report(o, at, eventloop.HeartbeatRequest{Req: seq, Heartbeat: reportOf(m, 1, seq, o.tokenFor(m), tasks...)})
 		}
 		for _, name := range names {
 			if o.machines[name].bad {
@@ -166,7 +166,7 @@
 	ends := map[string]time.Time{}
 	for s := 0; s < 200 && begun == 0; s++ {
 		at := now.Add(time.Duration(s) * time.Second)
-		o.Known(o.view.Version, at)
+		o.ChangesKnown(o.view.LeaseVersion, at)
 		o.loop.Begin(at)
 		mayStart(o)
 		var tasks []wire.TaskStatus
@@ -180,7 +180,7 @@
 			}
 			tasks = append(tasks, x)
 		}
-		report(o, at, step.ReportIn{Req: 1, Report: reportOf(m, 1, uint64(s+1), m.fence, tasks...)})
+		report(o, at, eventloop.HeartbeatRequest{Req: 1, Heartbeat: reportOf(m, 1, uint64(s+1), m.fence, tasks...)})
 		tick(o, at.Add(200*time.Millisecond))
 		if wide.begun {
 			begun = at.Sub(now)
@@ -198,23 +198,23 @@
 func TestRedirectedWorkerIsKept(t *testing.T) {
 	o, now := newOwner(t, []config.Team{{Name: "free"}}, wire.LeaseRecord{Term: 3, Leader: "n1",
 		Blocks: map[string]wire.Block{"n0": {Grant: 1 << 18, Incarnation: 7}, "n1": {Grant: 1<<18 + 1, Incarnation: 9, Machines: wire.NameSet{"host-000001"}}}})
-	lease := config.Seconds(o.view.Cfg.Cluster.Workers.LeaseS)
+	lease := config.Seconds(o.view.Settings.Cluster.Workers.LeaseS)
 	at := now.Add(5 * time.Second) // it has just given its owner up
 	kept, seq, stays := now, uint64(0), 0
 	for at.Sub(now) < 20*time.Second {
-		o.view.Peers["n1"].Heard = at
-		o.Known(o.view.Version, at)
+		o.view.Peers["n1"].LastFrame = at
+		o.ChangesKnown(o.view.LeaseVersion, at)
 		o.loop.Begin(at)
 		seq++
-		o.Report(step.ReportIn{Req: seq, Report: reportOf(&machine{name: "host-000001"}, 1, seq, 1<<42)})
-		reply := o.loop.Effects()[0].(step.Reply)
+		o.HandleHeartbeat(eventloop.HeartbeatRequest{Req: seq, Heartbeat: reportOf(&machine{name: "host-000001"}, 1, seq, 1<<42)})
+		reply := o.loop.Effects()[0].(eventloop.Reply)
 		if at.Sub(kept) > lease {
 			t.Fatalf("its lease ends after %v", at.Sub(now))
 		}
 		if reply.Status == 200 {
 			kept = at
 			stays++
-			at = at.Add(config.Seconds(o.view.Cfg.Cluster.Workers.ReportS))
+			at = at.Add(config.Seconds(o.view.Settings.Cluster.Workers.ReportS))
 			continue
 		}
 		seq++ // it reports to its owner in vain
@@ -232,7 +232,7 @@
 	putArray(o, "wk-000001", "idle", 50000, 0.001, now)
 	rep := reportOf(m, 1, 1, m.fence)
 	for range 8 {
-		report(o, now, step.ReportIn{Req: 1, Report: rep})
+		report(o, now, eventloop.HeartbeatRequest{Req: 1, Heartbeat: rep})
 		rep.Sequence, rep.Tasks = rep.Sequence+1, nil
 		for _, key := range sortedRuns(m) {
 			rep.Tasks = append(rep.Tasks, wire.TaskStatus{Task: key.task, Attempt: key.attempt, State: wire.TaskEnded, Reason: wire.ReasonDone})
@@ -252,8 +252,8 @@
 	guest := &machine{name: "host-000002"}
 	for s, seq := range []uint64{7, 7, 6} {
 		at := now.Add(time.Duration(s) * time.Second)
-		o.Known(o.view.Version, at)
-		report(o, at, step.ReportIn{Req: seq, Report: reportOf(guest, 1, seq, m.fence)})
+		o.ChangesKnown(o.view.LeaseVersion, at)
+		report(o, at, eventloop.HeartbeatRequest{Req: seq, Heartbeat: reportOf(guest, 1, seq, m.fence)})
 	}
 	if g := o.guests[guest.name]; g == nil || g.heard != now {
 		t.Errorf("copies count: %+v", g)
@@ -261,9 +261,9 @@
 }
 
 // answers are the tokens and commands with which reports were answered.
-func answers(effects []step.Effect) (out []wire.HeartbeatAnswer) {
+func answers(effects []eventloop.Effect) (out []wire.HeartbeatAnswer) {
 	for _, e := range effects {
-		if r, ok := e.(step.Reply); ok && r.Status == 200 {
+		if r, ok := e.(eventloop.Reply); ok && r.Status == 200 {
 			out = append(out, r.Body.(wire.HeartbeatAnswer))
 		}
 	}
@@ -277,11 +277,11 @@
 // the raised token nothing more is started by a command of its own.
 func TestOverdueCommandIsVoid(t *testing.T) {
 	o, m, now := oneMachine(t, false)
-	report(o, now, step.ReportIn{Req: 1, Report: reportOf(m, 1, 1, m.fence)})
+	report(o, now, eventloop.HeartbeatRequest{Req: 1, Heartbeat: reportOf(m, 1, 1, m.fence)})
 	putArray(o, "wk-000001", "standard", 1, 1, now)
-	var sent step.Direct
+	var sent eventloop.WorkerCommands
 	for _, e := range tick(o, now.Add(time.Second)) {
-		if d, ok := e.(step.Direct); ok {
+		if d, ok := e.(eventloop.WorkerCommands); ok {
 			sent = d
 		}
 	}
@@ -289,24 +289,24 @@
 		t.Fatalf("sent %+v, want one start", sent.Body)
 	}
 	at := now.Add(12 * time.Second)
-	o.Known(o.view.Version, at)
+	o.ChangesKnown(o.view.LeaseVersion, at)
 	mayStart(o)
-	report(o, at, step.ReportIn{Req: 2, Report: reportOf(m, 1, 5, m.fence)})
+	report(o, at, eventloop.HeartbeatRequest{Req: 2, Heartbeat: reportOf(m, 1, 5, m.fence)})
 	got := answers(o.loop.Effects())
 	if len(got) != 1 || got[0].Token <= sent.Body.Token {
 		t.Errorf("answered with %+v after a command with token %d", got, sent.Body.Token)
 	}
-	complete(o, at, step.Completed{ID: sent.ID})
+	complete(o, at, eventloop.Completion{ID: sent.ID})
 	j := putArray(o, "wk-000002", "standard", 1, 1, at)
 	o.loop.Begin(at)
 	o.start(j, m)
 	m.noDirect = time.Time{}
 	for _, e := range tick(o, at.Add(time.Second)) {
-		if d, ok := e.(step.Direct); ok && len(d.Body.Commands) > 0 {
+		if d, ok := e.(eventloop.WorkerCommands); ok && len(d.Body.Commands) > 0 {
 			t.Errorf("%+v sent to a machine that may not hear", d.Body)
 		}
 	}
-	report(o, at.Add(2*time.Second), step.ReportIn{Req: 3, Report: reportOf(m, 1, 9, o.tokenFor(m))})
+	report(o, at.Add(2*time.Second), eventloop.HeartbeatRequest{Req: 3, Heartbeat: reportOf(m, 1, 9, o.tokenFor(m))})
 	if !m.hears() {
 		t.Error("shows the raised token, and does not count as one that hears")
 	}
@@ -317,13 +317,13 @@
 // token of a later grant says that somebody else has taken over.
 func TestRaisedTokenIsFollowed(t *testing.T) {
 	o, m, now := oneMachine(t, false)
-	report(o, now, step.ReportIn{Req: 1, Report: reportOf(m, 1, 1, m.fence)})
+	report(o, now, eventloop.HeartbeatRequest{Req: 1, Heartbeat: reportOf(m, 1, 1, m.fence)})
 	raised := m.fence + 3
-	report(o, now.Add(time.Second), step.ReportIn{Req: 2, Report: reportOf(m, 1, 8, raised)})
+	report(o, now.Add(time.Second), eventloop.HeartbeatRequest{Req: 2, Heartbeat: reportOf(m, 1, 8, raised)})
 	if got := answers(o.loop.Effects()); len(got) != 1 || got[0].Token < raised || len(o.guests) > 0 || !m.hears() {
 		t.Errorf("answered with %+v, guests %d", got, len(o.guests))
 	}
-	report(o, now.Add(2*time.Second), step.ReportIn{Req: 3, Report: reportOf(m, 1, 9, m.fence+1<<24)})
+	report(o, now.Add(2*time.Second), eventloop.HeartbeatRequest{Req: 3, Heartbeat: reportOf(m, 1, 9, m.fence+1<<24)})
 	if len(o.guests) != 1 {
 		t.Error("a token of a later grant does not make it a guest")
 	}
@@ -336,7 +336,7 @@
 	for _, follows := range []bool{true, false} {
 		o, now := newOwner(t, []config.Team{{Name: "free"}}, wire.LeaseRecord{Term: 3, Leader: "n1",
 			Blocks: map[string]wire.Block{"n1": {Grant: 5, Incarnation: 7, Machines: wire.NameSet{"host-000001"}}}, Partitions: map[string]string{"free": "n1"}})
-		o.view.Peers["n1"].FollowsRaised = follows
+		o.view.Peers["n1"].AcceptsRaisedTokens = follows
 		first := uint64(5 << 24)
 		token, seq := first, uint64(10)
 		for i, c := range []struct {
@@ -346,9 +346,9 @@
 		}{{0, 0, true}, {time.Second, 0, false}, {time.Second, 0, false}, {time.Second, 1, true},
 			{time.Second, 0, false}, {raiseEvery - time.Second, 0, true}, {time.Second, 0, false}} {
 			now = now.Add(c.after)
-			o.Known(o.view.Version, now)
+			o.ChangesKnown(o.view.LeaseVersion, now)
 			seq += 1 + c.skips
-			report(o, now, step.ReportIn{Req: uint64(i), Report: wire.Heartbeat{Machine: "host-000001", Type: "s4", AgentEpoch: 1, Sequence: seq, Token: token}})
+			report(o, now, eventloop.HeartbeatRequest{Req: uint64(i), Heartbeat: wire.Heartbeat{Machine: "host-000001", Type: "s4", AgentEpoch: 1, Sequence: seq, Token: token}})
 			got := answers(o.loop.Effects())
 			if len(got) != 1 {
 				t.Fatalf("follows %v, report %d: answers %+v", follows, i, got)
@@ -368,7 +368,7 @@
 		o, m, now := oneMachine(t, false)
 		at := now.Add(30 * time.Second)
 		if fresh {
-			o.Known(o.view.Version, at)
+			o.ChangesKnown(o.view.LeaseVersion, at)
 		}
 		o.loop.Begin(at)
 		mayStart(o)
@@ -376,7 +376,7 @@
 		o.observe(m, &wire.Heartbeat{Machine: m.name, Endpoint: "e", Type: "s4", Zone: "x", AgentEpoch: 1, Sequence: 5, Token: m.fence}, true)
 		starts := 0
 		for _, e := range tick(o, at) {
-			if d, ok := e.(step.Direct); ok && len(d.Body.Commands) > 0 {
+			if d, ok := e.(eventloop.WorkerCommands); ok && len(d.Body.Commands) > 0 {
 				starts++
 				if d.Until.After(o.answerUntil()) {
 					t.Errorf("may be sent until %v, reports answered until %v", d.Until, o.answerUntil())
@@ -394,20 +394,20 @@
 // many are mute that takes the whole processor.
 func TestMuteMachineIsAskedNowAndThen(t *testing.T) {
 	o, m, now := oneMachine(t, false)
-	report(o, now, step.ReportIn{Req: 1, Report: reportOf(m, 1, 1, o.tokenFor(m))})
+	report(o, now, eventloop.HeartbeatRequest{Req: 1, Heartbeat: reportOf(m, 1, 1, o.tokenFor(m))})
 	asked, seq := 0, uint64(1)
 	for ms := 100; ms <= 12000; ms += 100 {
 		at := now.Add(time.Duration(ms) * time.Millisecond)
-		o.Known(o.view.Version, at)
+		o.ChangesKnown(o.view.LeaseVersion, at)
 		effects := tick(o, at)
 		mayStart(o)
 		for n := 0; len(effects) > 0 && n < 100; n++ { // answers that come at once
 			e := effects[0]
 			effects = effects[1:]
-			if d, ok := e.(step.Direct); ok {
+			if d, ok := e.(eventloop.WorkerCommands); ok {
 				asked, seq = asked+1, seq+1
 				r := reportOf(m, 1, seq, d.Body.Token)
-				complete(o, at, step.Completed{ID: d.ID, Status: 200, Report: &r})
+				complete(o, at, eventloop.Completion{ID: d.ID, Status: 200, Heartbeat: &r})
 				effects = append(effects, o.loop.Effects()...)
 			}
 		}
@@ -422,19 +422,19 @@
 // start that is held on its way must not carry more than that.
 func TestStartsCarryAShownToken(t *testing.T) {
 	o, m, now := oneMachine(t, false)
-	report(o, now, step.ReportIn{Req: 1, Report: reportOf(m, 1, 1, m.fence)})
+	report(o, now, eventloop.HeartbeatRequest{Req: 1, Heartbeat: reportOf(m, 1, 1, m.fence)})
 	b := o.view.Lease.Blocks["n0"]
 	b.Grant++
 	o.view.Lease.Blocks["n0"] = b
 	mayStart(o)
-	o.Leased(b)
+	o.ApplyBlock(b)
 	if o.tokenFor(m) <= m.token {
 		t.Fatalf("the new grant's token is %d, shown is %d", o.tokenFor(m), m.token)
 	}
 	putArray(o, "wk-000001", "urgent", 1, 1, now)
 	starts := 0
 	for _, e := range tick(o, now.Add(time.Second)) {
-		if d, ok := e.(step.Direct); ok {
+		if d, ok := e.(eventloop.WorkerCommands); ok {
 			starts++
 			if d.Body.Token > m.token {
 				t.Errorf("a start with token %d, shown is %d", d.Body.Token, m.token)
--- a/internal/core/owner/job.go
+++ b/internal/core/owner/job.go
@@ -17,13 +17,13 @@
 
 // Job is a job that is not over, or whose tasks are not all gone yet.
 type Job struct {
-	Rec     wire.JobRecord
-	Version uint64 // of the record
-	Over    bool
-	Told    [2]int // counts heard from the owner, for display
+	Record         wire.JobRecord
+	Version        uint64 // of the record
+	Ended          bool
+	ReportedCounts [2]int // counts heard from the owner, for display
 	// Writing says that an end is being stored; until NextWrite none is tried.
-	Writing   bool
-	NextWrite time.Time
+	EndInFlight bool
+	RetryEndAt  time.Time
 
 	first uint64 // version under which it was first stored
 	form  int    // of the envelope of its record
@@ -53,24 +53,28 @@
 }
 
 // age is how long ago the job was submitted.
-func (j *Job) age(now time.Time) time.Duration { return now.Sub(time.UnixMilli(j.Rec.SubmittedAtMs)) }
+func (j *Job) age(now time.Time) time.Duration {
+	return now.Sub(time.UnixMilli(j.Record.SubmittedAtMs))
+}
 
 // Begun tells whether a task of the job was started, as far as is known here.
-func (j *Job) Begun() bool { return j.begun }
+func (j *Job) Started() bool { return j.begun }
 
 // Counts are the tasks that are completed and those that run, as far as the
 // job's owner knows. It may not have read yet what an earlier owner has told.
-func (j *Job) Counts() (done, running int) { return max(j.doneCount, j.Told[0]), j.running() }
+func (j *Job) Counts() (done, running int) { return max(j.doneCount, j.ReportedCounts[0]), j.running() }
 
 // Hear takes counts that the job's owner tells. What was once completed remains so,
 // also when an owner has not read of it yet.
-func (j *Job) Hear(done, running int) { j.Told = [2]int{max(done, j.Told[0]), running} }
+func (j *Job) ApplyReportedCounts(done, running int) {
+	j.ReportedCounts = [2]int{max(done, j.ReportedCounts[0]), running}
+}
 
 // untold are counts that were never told.
 var untold = [2]int{-1, -1}
 
-func (j *Job) need() sched.Amount {
-	return sched.Amount{CPUs: j.Rec.CPUs, Cards: j.Rec.GPUs, MemoryGB: j.Rec.MemoryGB}
+func (j *Job) need() sched.Resources {
+	return sched.Resources{CPUs: j.Record.CPUs, GPUs: j.Record.GPUs, MemoryGB: j.Record.MemoryGB}
 }
 
 func (j *Job) running() int {
@@ -86,16 +90,16 @@
 // home is the key in the lease value at which the job's owner stands: its
 // team, or the part of the team's jobs that it was filed under.
 func (j *Job) home() string {
-	if j.Rec.Shard != "" {
-		return j.Rec.Shard
+	if j.Record.Shard != "" {
+		return j.Record.Shard
 	}
-	return j.Rec.Team
+	return j.Record.Team
 }
 
 // disown forgets what an owner knows of the job, but for what it would have told.
 func (j *Job) disown() {
 	if j.ready {
-		j.Told[0], j.Told[1] = j.Counts()
+		j.ReportedCounts[0], j.ReportedCounts[1] = j.Counts()
 	}
 	j.shown = untold
 	j.ready, j.reading, j.runs, j.done, j.stored, j.doneCount, j.queue = false, false, nil, nil, nil, 0, nil
@@ -124,12 +128,12 @@
 // adopt makes the job ready for placing when this controller is its home.
 func (o *Owner) adopt(j *Job) {
 	since, mine := o.homes[j.home()]
-	if !mine || j.ready || j.reading || j.Over {
+	if !mine || j.ready || j.reading || j.Ended {
 		return
 	}
 	if j.runs == nil {
 		j.runs = map[int]*run{}
-		j.done, j.stored = make([]uint64, (j.Rec.Tasks+63)/64), make([]uint64, (j.Rec.Tasks+63)/64)
+		j.done, j.stored = make([]uint64, (j.Record.Tasks+63)/64), make([]uint64, (j.Record.Tasks+63)/64)
 	}
 	if j.first > since {
 		o.jobReady(j) // accepted under this ownership: nothing can have run
@@ -143,7 +147,7 @@
 func (o *Owner) jobReady(j *Job) {
 	j.ready, j.hereSince = true, o.loop.Now
 	j.queue = j.queue[:0]
-	for i := range j.Rec.Tasks {
+	for i := range j.Record.Tasks {
 		if !j.isDone(i) && j.runs[i] == nil {
 			j.queue = append(j.queue, i)
 		}
@@ -158,8 +162,8 @@
 	j.done[i/64] |= 1 << (i % 64)
 	j.doneCount++
 	j.begun = true
-	if j.doneCount == j.Rec.Tasks {
-		o.ending[j.Rec.ID] = true
+	if j.doneCount == j.Record.Tasks {
+		o.ending[j.Record.ID] = true
 	} else if !j.isStored(i) {
 		o.noteDone(j, i)
 	}
@@ -170,9 +174,9 @@
 
 // End stops all tasks of a job that is over. The job is kept while some
 // task of it is still somewhere, since that counts against the team's limit.
-func (o *Owner) End(j *Job) {
-	if !j.Over {
-		j.Over = true
+func (o *Owner) EndJob(j *Job) {
+	if !j.Ended {
+		j.Ended = true
 		o.dropEntries(j)
 		j.queue = nil
 		for _, r := range j.runs {
@@ -186,7 +190,7 @@
 		o.placeDue = true
 	}
 	if len(j.runs) == 0 {
-		delete(o.jobs, j.Rec.ID)
+		delete(o.jobs, j.Record.ID)
 	}
 }
 
@@ -197,17 +201,17 @@
 	}
 	for _, id := range cluster.SortedKeys(o.ending) {
 		j := o.jobs[id]
-		if j == nil || j.Over || !o.Owns(j) {
+		if j == nil || j.Ended || !o.Owns(j) {
 			delete(o.ending, id)
 			continue
 		}
 		if o.writing >= writesAtOnce {
 			return
 		}
-		if j.Writing || !j.ready || o.loop.Now.Before(j.NextWrite) {
+		if j.EndInFlight || !j.ready || o.loop.Now.Before(j.RetryEndAt) {
 			continue
 		}
 		o.writing++
-		o.records.End(j, wire.Done, 0, func(bool) { o.writing-- })
+		o.records.StoreEnd(j, wire.Done, 0, func(bool) { o.writing-- })
 	}
 }
--- a/internal/core/owner/malformed_test.go
+++ b/internal/core/owner/malformed_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"fawncove/internal/core/step"
+	"fawncove/internal/core/eventloop"
 	"fawncove/internal/wire"
 )
 
@@ -19,24 +19,24 @@
 		return &r
 	}
 	for name, c := range map[string]struct {
-		answer step.Completed
+		answer eventloop.Completion
 		freed  bool
 	}{
-		"200 and nothing":           {step.Completed{Status: 200}, false},
-		"200 with an empty report":  {step.Completed{Status: 200, Report: &wire.Heartbeat{}}, false},
-		"200 with another's report": {step.Completed{Status: 200, Report: other(func(*wire.Heartbeat) {})}, false},
-		"200 with nobody's report":  {step.Completed{Status: 200, Report: other(func(r *wire.Heartbeat) { r.Machine = "" })}, false},
-		"a status of its own":       {step.Completed{Status: 777, Report: other(func(r *wire.Heartbeat) { r.Machine = "host-000001" })}, false},
-		"no answer":                 {step.Completed{}, false},
-		"409 and nothing":           {step.Completed{Status: 409}, true},
-		"409 with another's report": {step.Completed{Status: 409, Report: other(func(*wire.Heartbeat) {})}, true},
+		"200 and nothing":           {eventloop.Completion{Status: 200}, false},
+		"200 with an empty report":  {eventloop.Completion{Status: 200, Heartbeat: &wire.Heartbeat{}}, false},
+		"200 with another's report": {eventloop.Completion{Status: 200, Heartbeat: other(func(*wire.Heartbeat) {})}, false},
+		"200 with nobody's report":  {eventloop.Completion{Status: 200, Heartbeat: other(func(r *wire.Heartbeat) { r.Machine = "" })}, false},
+		"a status of its own":       {eventloop.Completion{Status: 777, Heartbeat: other(func(r *wire.Heartbeat) { r.Machine = "host-000001" })}, false},
+		"no answer":                 {eventloop.Completion{}, false},
+		"409 and nothing":           {eventloop.Completion{Status: 409}, true},
+		"409 with another's report": {eventloop.Completion{Status: 409, Heartbeat: other(func(*wire.Heartbeat) {})}, true},
 	} {
 		o, m, now := oneMachine(t, false)
-		report(o, now, step.ReportIn{Req: 1, Report: reportOf(m, 1, 1, m.fence)})
+		report(o, now, eventloop.HeartbeatRequest{Req: 1, Heartbeat: reportOf(m, 1, 1, m.fence)})
 		j := putArray(o, "wk-000001", "standard", 1, 1, now)
-		var sent step.Direct
+		var sent eventloop.WorkerCommands
 		for _, e := range tick(o, now.Add(time.Second)) {
-			if d, ok := e.(step.Direct); ok && len(d.Body.Commands) > 0 {
+			if d, ok := e.(eventloop.WorkerCommands); ok && len(d.Body.Commands) > 0 {
 				sent = d
 			}
 		}
--- a/internal/core/owner/move.go
+++ b/internal/core/owner/move.go
@@ -5,9 +5,9 @@
 	"time"
 
 	"fawncove/internal/core/cluster"
-	"fawncove/internal/core/gate"
+	"fawncove/internal/core/eventloop"
+	"fawncove/internal/core/feature"
 	"fawncove/internal/core/sched"
-	"fawncove/internal/core/step"
 	"fawncove/internal/peerpb"
 	"fawncove/internal/wire"
 )
@@ -48,19 +48,19 @@
 
 // Slots are, for each type, zone and kind of machine, those of the block with most room
 // of each resource.
-func (o *Owner) Slots() []*peerpb.FreeSlot {
+func (o *Owner) FreeSlots() []*peerpb.FreeSlot {
 	type group struct {
 		kind, zone string
 		spot, late bool
 	}
-	of := [...]func(a sched.Amount) float64{
-		func(a sched.Amount) float64 { return a.CPUs },
-		func(a sched.Amount) float64 { return a.Cards },
-		func(a sched.Amount) float64 { return a.MemoryGB },
+	of := [...]func(a sched.Resources) float64{
+		func(a sched.Resources) float64 { return a.CPUs },
+		func(a sched.Resources) float64 { return a.GPUs },
+		func(a sched.Resources) float64 { return a.MemoryGB },
 	}
 	type roomiest struct {
 		m    *machine
-		free sched.Amount
+		free sched.Resources
 	}
 	best := map[group]*[len(of)]roomiest{}
 	kept := o.keptOn()
@@ -89,7 +89,7 @@
 		if i := slices.IndexFunc(b[:], func(r roomiest) bool { return r.m == m }); i >= 0 {
 			free := b[i].free
 			out = append(out, &peerpb.FreeSlot{Type: m.kind, Zone: m.zone, Spot: m.spot, OverdueOnly: late,
-				Cpus: free.CPUs, Gpus: free.Cards, MemoryGb: free.MemoryGB})
+				Cpus: free.CPUs, Gpus: free.GPUs, MemoryGb: free.MemoryGB})
 		}
 	}
 	return out
@@ -117,7 +117,7 @@
 type look struct {
 	o       *Owner
 	unknown []*machine
-	hidden  sched.Amount // what may be on them
+	hidden  sched.Resources // what may be on them
 	kept    map[string]*Job
 	parts   map[string][]string // of each team
 }
@@ -157,7 +157,7 @@
 // knows that jobs move.
 func (o *Owner) allFollowMoves() bool {
 	for name, p := range o.view.Peers {
-		if !p.FollowsMoves || !o.view.LinkUp(name, o.loop.Now) {
+		if !p.AcceptsJobMoves || !o.view.IsReachable(name, o.loop.Now) {
 			return false
 		}
 	}
@@ -172,10 +172,10 @@
 	if j.hereSince.After(since) {
 		since = j.hereSince
 	}
-	return o.loop.Now.Sub(since) > o.view.Par.Move && j.Rec.Shape != wire.Group && !j.Writing && !j.doubtful() &&
-		len(j.runs) == 0 && (j.doneCount == 0 || o.view.Open(gate.Envelope) && j.allStored()) && !o.waitsForUnknown(j, l.unknown) &&
-		o.view.LimitOf(j.Rec.Team).Allows(o.usedByAll(j.Rec.Team), j.need()) &&
-		o.ceilingOf(j.Rec.Team).Allows(o.used[j.Rec.Team].Add(l.hidden, 1), j.need())
+	return o.loop.Now.Sub(since) > o.view.Params.MoveJobAfter && j.Record.Shape != wire.Group && !j.EndInFlight && !j.doubtful() &&
+		len(j.runs) == 0 && (j.doneCount == 0 || o.view.FeatureOpen(feature.Envelope) && j.allStored()) && !o.waitsForUnknown(j, l.unknown) &&
+		o.view.LimitOf(j.Record.Team).Allows(o.usedByAll(j.Record.Team), j.need()) &&
+		o.ceilingOf(j.Record.Team).Allows(o.used[j.Record.Team].Add(l.hidden, 1), j.need())
 }
 
 // roomHere tells whether a machine of the block has room for a task of the job that is
@@ -193,16 +193,16 @@
 // roomElsewhere names the controller that has most room on one machine for a task of
 // the job, and its first home of the job's team; or none.
 func (l *look) roomElsewhere(j *Job) (node, part string) {
-	o, team := l.o, j.Rec.Team
+	o, team := l.o, j.Record.Team
 	parts, known := l.parts[team]
 	if !known {
-		parts = cluster.Parts(o.view.Lease.Partitions, team)
+		parts = cluster.Shards(o.view.Lease.Partitions, team)
 		l.parts[team] = parts
 	}
 	most := 0.0
 	for _, home := range parts {
 		to := o.view.Lease.Partitions[home]
-		if to == o.view.Me || to == node || o.view.Peers[to] == nil {
+		if to == o.view.Self || to == node || o.view.Peers[to] == nil {
 			continue
 		}
 		if s := o.slotFor(j, to); s != nil && s.Free.CPUs > most {
@@ -213,12 +213,12 @@
 }
 
 // slotFor is the roomiest slot of a controller that a task of the job fits, or nil.
-func (o *Owner) slotFor(j *Job, node string) (best *cluster.Slot) {
-	slots := o.view.Peers[node].Slots
+func (o *Owner) slotFor(j *Job, node string) (best *cluster.FreeSlot) {
+	slots := o.view.Peers[node].FreeSlots
 	for i := range slots {
 		s := &slots[i]
-		m := machine{kind: s.Kind, zone: s.Zone, spot: s.Spot}
-		if (!s.Late || o.waitsLong(j)) && j.mayUse(&m) && j.need().Fits(s.Free) && (best == nil || s.Free.CPUs > best.Free.CPUs) {
+		m := machine{kind: s.MachineType, zone: s.Zone, spot: s.Spot}
+		if (!s.OverdueOnly || o.waitsLong(j)) && j.mayUse(&m) && j.need().Fits(s.Free) && (best == nil || s.Free.CPUs > best.Free.CPUs) {
 			best = s
 		}
 	}
@@ -227,16 +227,16 @@
 
 // move has the job's record name a home of another controller.
 func (o *Owner) move(j *Job, node, part string) {
-	rec := j.Rec
+	rec := j.Record
 	rec.Shard, rec.Owner = part, node
-	at := Stamp{}
+	at := RecordInfo{}
 	if j.doneCount > 0 {
-		at.Born = 1 // older than any home: the new owner reads what is completed
+		at.FirstVersion = 1 // older than any home: the new owner reads what is completed
 	}
 	value, err := wire.WithFields(rec, rec.Unknown)
-	if err == nil && o.view.Open(gate.Envelope) {
+	if err == nil && o.view.FeatureOpen(feature.Envelope) {
 		var env wire.Envelope
-		env, err = wire.Wrap(value, o.view.Lease.Generation, at.Born)
+		env, err = wire.Wrap(value, o.view.Lease.Generation, at.FirstVersion)
 		value, at.Form = env, env.Form
 	}
 	if err != nil {
@@ -246,16 +246,16 @@
 	// Until the other one tells its new figures the job counts against them.
 	s := o.slotFor(j, node)
 	s.Free = s.Free.Add(j.need(), -1)
-	key := o.records.Key(rec.ID)
-	j.leaving, j.beside = o.view.Version, time.Time{}
-	o.loop.Emit(step.StateTxn{
-		Txn: wire.Txn{If: append(o.records.Basis(), wire.Condition{Key: key, Version: j.Version}), Then: []wire.Op{{Put: key, Value: value}}},
-		ID: o.loop.Call(func(d step.Completed) {
+	key := o.records.JobKey(rec.ID)
+	j.leaving, j.beside = o.view.LeaseVersion, time.Time{}
+	o.loop.Emit(eventloop.StateTxn{
+		Txn: wire.Txn{If: append(o.records.LeaseUnchanged(), wire.Condition{Key: key, Version: j.Version}), Then: []wire.Op{{Put: key, Value: value}}},
+		ID: o.loop.Call(func(d eventloop.Completion) {
 			switch d.Status {
 			case 200:
 				o.log.Info("job moved", "job", rec.ID, "tasks", rec.Tasks, "waits", j.age(o.loop.Now).Round(time.Second), "to", node)
-				if at.Version = d.Txn.Revision; !j.Over {
-					o.Put(rec, at)
+				if at.Version = d.Txn.Revision; !j.Ended {
+					o.ApplyJob(rec, at)
 				}
 			case 0: // perhaps it does move, or will: see settleMoves
 			default:
@@ -270,7 +270,7 @@
 // once all changes up to then are.
 func (o *Owner) settleMoves() {
 	for _, j := range o.jobs {
-		if j.leaving != 0 && o.view.Version > j.leaving && o.seen >= o.view.Version {
+		if j.leaving != 0 && o.view.LeaseVersion > j.leaving && o.seen >= o.view.LeaseVersion {
 			j.leaving = 0
 		}
 	}
@@ -278,9 +278,9 @@
 
 // moved takes in that a job's record names another home than before; mine says that it
 // was this controller's. Its former owner knew that nothing of it was anywhere.
-func (o *Owner) moved(j *Job, at Stamp, mine bool) {
+func (o *Owner) moved(j *Job, at RecordInfo, mine bool) {
 	j.leaving, j.beside, j.keeps = 0, time.Time{}, ""
-	if j.first = at.Born; at.Born == 0 {
+	if j.first = at.FirstVersion; at.FirstVersion == 0 {
 		j.first = at.Version
 	}
 	if mine && !o.Owns(j) {
--- a/internal/core/owner/move_test.go
+++ b/internal/core/owner/move_test.go
@@ -6,8 +6,8 @@
 
 	"fawncove/internal/config"
 	"fawncove/internal/core/cluster"
+	"fawncove/internal/core/eventloop"
 	"fawncove/internal/core/sched"
-	"fawncove/internal/core/step"
 	"fawncove/internal/wire"
 )
 
@@ -20,32 +20,32 @@
 		Partitions: map[string]string{"free": "n0", "free #1": "n0", "free #2": "n1"}})
 	mayStart(o)
 	m := o.machines["host-000001"]
-	report(o, now, step.ReportIn{Req: 1, Report: reportOf(m, 1, 1, m.fence)})
+	report(o, now, eventloop.HeartbeatRequest{Req: 1, Heartbeat: reportOf(m, 1, 1, m.fence)})
 	o.start(putPart(o, "wk-000001", 6, 4, now), m)
 	waits = putPart(o, "wk-000002", 7, 3, now)
-	*o.view.Peers["n1"] = cluster.Peer{FollowsMoves: true, Slots: []cluster.Slot{{Kind: "s4", Zone: "y", Free: sched.Amount{CPUs: 4, MemoryGB: 16}}}}
+	*o.view.Peers["n1"] = cluster.Peer{AcceptsJobMoves: true, FreeSlots: []cluster.FreeSlot{{MachineType: "s4", Zone: "y", Free: sched.Resources{CPUs: 4, MemoryGB: 16}}}}
 	return o, waits, now
 }
 
 // putPart has a job of one task stored, filed under the first part of its team.
 func putPart(o *Owner, id string, version uint64, cpus float64, at time.Time) *Job {
-	o.Put(wire.JobRecord{Job: wire.Job{ID: id, Team: "free", Shape: wire.Array, Priority: "urgent", Tasks: 1, CPUs: cpus, MemoryGB: 1},
-		Shard: "free #1", Owner: "n0", SubmittedAtMs: at.UnixMilli()}, Stamp{Version: version})
+	o.ApplyJob(wire.JobRecord{Job: wire.Job{ID: id, Team: "free", Shape: wire.Array, Priority: "urgent", Tasks: 1, CPUs: cpus, MemoryGB: 1},
+		Shard: "free #1", Owner: "n0", SubmittedAtMs: at.UnixMilli()}, RecordInfo{Version: version})
 	return o.jobs[id]
 }
 
 // moves plays the owner for so long and returns the first transaction that moves a job.
-func moves(o *Owner, now time.Time, long time.Duration) *step.StateTxn {
+func moves(o *Owner, now time.Time, long time.Duration) *eventloop.StateTxn {
 	for end := now.Add(long); now.Before(end); now = now.Add(500 * time.Millisecond) {
 		o.loop.Begin(now)
 		mayStart(o)
-		o.Known(o.view.Version, now)
+		o.ChangesKnown(o.view.LeaseVersion, now)
 		for _, m := range o.machines {
 			m.heard = now
 		}
-		o.view.Peers["n1"].Heard = now
+		o.view.Peers["n1"].LastFrame = now
 		for _, e := range tick(o, now) {
-			if x, ok := e.(step.StateTxn); ok && x.Txn.Then[0].Put == "fc/j/wk-000002" {
+			if x, ok := e.(eventloop.StateTxn); ok && x.Txn.Then[0].Put == "fc/j/wk-000002" {
 				return &x
 			}
 		}
@@ -76,24 +76,24 @@
 			j.form, j.doneCount, j.done[0] = wire.EnvelopeForm, 1, 1
 		}, false},
 		{"a task is somewhere", nil, func(o *Owner, j *Job) { j.runs[0] = &run{j: j, m: o.machines["host-000001"]} }, false},
-		{"a gang", nil, func(o *Owner, j *Job) { j.Rec.Shape = wire.Group }, false},
+		{"a gang", nil, func(o *Owner, j *Job) { j.Record.Shape = wire.Group }, false},
 		{"a mistaken job", nil, func(o *Owner, j *Job) { j.failedOn = map[string]bool{"a": true, "b": true, "c": true} }, false},
-		{"its end is being stored", nil, func(o *Owner, j *Job) { j.Writing = true }, false},
-		{"room for less", nil, func(o *Owner, j *Job) { o.view.Peers["n1"].Slots[0].Free.CPUs = 2 }, false},
-		{"room in another zone", nil, func(o *Owner, j *Job) { j.Rec.Zone = "x" }, false},
-		{"room on spot machines", nil, func(o *Owner, j *Job) { o.view.Peers["n1"].Slots[0].Spot = true }, false},
+		{"its end is being stored", nil, func(o *Owner, j *Job) { j.EndInFlight = true }, false},
+		{"room for less", nil, func(o *Owner, j *Job) { o.view.Peers["n1"].FreeSlots[0].Free.CPUs = 2 }, false},
+		{"room in another zone", nil, func(o *Owner, j *Job) { j.Record.Zone = "x" }, false},
+		{"room on spot machines", nil, func(o *Owner, j *Job) { o.view.Peers["n1"].FreeSlots[0].Spot = true }, false},
 		{"no home there", nil, func(o *Owner, j *Job) { delete(o.view.Lease.Partitions, "free #2") }, false},
-		{"an earlier version", nil, func(o *Owner, j *Job) { o.view.Peers["n1"].FollowsMoves = false }, false},
-		{"one is out of reach", nil, func(o *Owner, j *Job) { o.view.Peers["n2"] = &cluster.Peer{FollowsMoves: true} }, false},
-		{"the team is at its limit", nil, func(o *Owner, j *Job) { o.view.Cfg.Cluster.Teams[0].CPUsMax = 5 }, false},
+		{"an earlier version", nil, func(o *Owner, j *Job) { o.view.Peers["n1"].AcceptsJobMoves = false }, false},
+		{"one is out of reach", nil, func(o *Owner, j *Job) { o.view.Peers["n2"] = &cluster.Peer{AcceptsJobMoves: true} }, false},
+		{"the team is at its limit", nil, func(o *Owner, j *Job) { o.view.Settings.Cluster.Teams[0].CPUsMax = 5 }, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			o, j, now := crowded(t, c.old)
 			c.change(o, j)
-			if x := moves(o, now, o.view.Par.Move); x != nil {
+			if x := moves(o, now, o.view.Params.MoveJobAfter); x != nil {
 				t.Error("moves before its time")
 			}
-			if x := moves(o, now.Add(o.view.Par.Move), 20*time.Second); (x != nil) != c.moves {
+			if x := moves(o, now.Add(o.view.Params.MoveJobAfter), 20*time.Second); (x != nil) != c.moves {
 				t.Errorf("moves: %v, want %v", x != nil, c.moves)
 			}
 		})
@@ -123,21 +123,21 @@
 				t.Fatal("does not move")
 			}
 			at := o.loop.Now
-			complete(o, at, step.Completed{ID: x.ID, State: true, Status: c.status, Txn: wire.TxnAnswer{Revision: 8}})
+			complete(o, at, eventloop.Completion{ID: x.ID, FromStateService: true, Status: c.status, Txn: wire.TxnAnswer{Revision: 8}})
 			rec := o.view.Lease
-			o.view.Take(rec, c.version)
+			o.view.ApplyLease(rec, c.version)
 			o.loop.Begin(at)
 			full := o.jobs["wk-000001"]
-			o.End(full)
+			o.EndJob(full)
 			for _, r := range full.runs { // room at last
 				o.dropRun(r)
 			}
 			o.seen = c.known
-			o.view.Peers["n1"].FollowsMoves = false
+			o.view.Peers["n1"].AcceptsJobMoves = false
 			for range 10 {
 				at = at.Add(200 * time.Millisecond)
 				o.loop.Begin(at)
-				o.Known(0, at)
+				o.ChangesKnown(0, at)
 				o.machines["host-000001"].heard = at
 				tick(o, at)
 			}
@@ -157,19 +157,19 @@
 			Blocks:     map[string]wire.Block{"n0": {Grant: 1 << 18, Incarnation: 7, Machines: wire.NameSet{"host-000001"}}},
 			Partitions: map[string]string{"free #1": "n1", "free #2": "n1"}})
 		m := o.machines["host-000001"]
-		report(o, now, step.ReportIn{Req: 1, Report: reportOf(m, 1, 1, m.fence)})
+		report(o, now, eventloop.HeartbeatRequest{Req: 1, Heartbeat: reportOf(m, 1, 1, m.fence)})
 		j := putPart(o, "wk-000001", 6, 1, now)
 		rec := o.view.Lease.Clone()
 		rec.Partitions["free #1"] = "n0"
-		o.view.Take(rec, 20)
-		o.Leased(rec.Blocks["n0"])
+		o.view.ApplyLease(rec, 20)
+		o.ApplyBlock(rec.Blocks["n0"])
 		o.jobReady(j) // what earlier owners stored is read
 		play := func() {
 			for range 10 {
 				now = now.Add(200 * time.Millisecond)
 				o.loop.Begin(now)
 				mayStart(o)
-				o.Known(0, now)
+				o.ChangesKnown(0, now)
 				m.heard = now
 				tick(o, now)
 			}
@@ -178,11 +178,11 @@
 			t.Errorf("moved %v: started at revision %d", moved, o.seen)
 		}
 		if moved {
-			later := j.Rec
+			later := j.Record
 			later.Shard = "free #2"
-			o.Put(later, Stamp{Version: 15})
+			o.ApplyJob(later, RecordInfo{Version: 15})
 		}
-		o.Known(20, now)
+		o.ChangesKnown(20, now)
 		if play(); len(j.runs) > 0 == moved {
 			t.Errorf("moved %v: %d tasks are placed", moved, len(j.runs))
 		}
@@ -196,9 +196,9 @@
 		o, now := newOwner(t, []config.Team{{Name: "free"}}, wire.LeaseRecord{Term: 3, Leader: "n1",
 			Blocks: map[string]wire.Block{"n0": {Grant: 1 << 18, Incarnation: 7}}, Partitions: map[string]string{"free #1": "n1", "free #2": "n0"}})
 		j := putPart(o, "wk-000001", 6, 1, now)
-		later := j.Rec
+		later := j.Record
 		later.Shard = "free #2"
-		if o.Put(later, Stamp{Version: 8, Born: born}); j.ready == (born == 1) || j.reading != (born == 1) {
+		if o.ApplyJob(later, RecordInfo{Version: 8, FirstVersion: born}); j.ready == (born == 1) || j.reading != (born == 1) {
 			t.Errorf("first stored under %d: ready %v, being read %v", born, j.ready, j.reading)
 		}
 	}
--- a/internal/core/owner/overdue.go
+++ b/internal/core/owner/overdue.go
@@ -33,10 +33,10 @@
 // block changes hands and the slowest machines come, if they ever do.
 func (o *Owner) overdueAfter() time.Duration {
 	slowest := 0.0
-	for _, t := range o.view.Types {
+	for _, t := range o.view.MachineTypes {
 		slowest = max(slowest, t.BootS)
 	}
-	return min(overdueMost, o.view.Par.Lease+config.Seconds(cluster.NeverUp*slowest))
+	return min(overdueMost, o.view.Params.LeaseDuration+config.Seconds(cluster.BootTimeoutFactor*slowest))
 }
 
 // overdue tells whether nothing of the job has begun for too long.
@@ -71,12 +71,12 @@
 
 // beginOverdue starts the first task of each overdue job, or keeps room for it.
 // What was kept for one before stays so.
-func (o *Owner) beginOverdue(jobs []*Job, spots []*spot, unknown []*machine, hidden sched.Amount) {
+func (o *Owner) beginOverdue(jobs []*Job, spots []*spot, unknown []*machine, hidden sched.Resources) {
 	var overdue []*Job
 	for _, j := range jobs {
 		switch {
-		case j.Rec.Shape == wire.Group || !o.overdue(j) || o.waitsForUnknown(j, unknown): // a gang begins as a whole
-		case !o.ceilingOf(j.Rec.Team).Allows(o.used[j.Rec.Team].Add(hidden, 1), j.need()):
+		case j.Record.Shape == wire.Group || !o.overdue(j) || o.waitsForUnknown(j, unknown): // a gang begins as a whole
+		case !o.ceilingOf(j.Record.Team).Allows(o.used[j.Record.Team].Add(hidden, 1), j.need()):
 			o.passed(j, "its team's limit")
 		default:
 			overdue = append(overdue, j)
@@ -143,10 +143,10 @@
 }
 
 // roomToCome is what a machine has left once all has ended there that ends by itself.
-func (m *machine) roomToCome() sched.Amount {
+func (m *machine) roomToCome() sched.Resources {
 	a := m.size
 	for _, r := range m.runs {
-		if r.j != nil && r.j.Rec.Shape == wire.Daemon && !r.over() && !r.stop {
+		if r.j != nil && r.j.Record.Shape == wire.Daemon && !r.over() && !r.stop {
 			a = a.Add(r.j.need(), -1)
 		}
 	}
@@ -159,6 +159,6 @@
 		return
 	}
 	j.passedAt, o.passedAt = o.loop.Now, o.loop.Now
-	o.log.Info("job overdue", "job", j.Rec.ID, "class", j.Rec.Class, "team", j.Rec.Team, "tasks", j.Rec.Tasks,
+	o.log.Info("job overdue", "job", j.Record.ID, "class", j.Record.Class, "team", j.Record.Team, "tasks", j.Record.Tasks,
 		"waits", j.age(o.loop.Now).Round(time.Second), "why", why)
 }
--- a/internal/core/owner/owner.go
+++ b/internal/core/owner/owner.go
@@ -2,7 +2,7 @@
 // the jobs that its controller is home to, places tasks on the former, reads the
 // reports of workers and answers them, and stores what is completed.
 //
-// It starts nothing without the right to that, which package grant keeps, and
+// It starts nothing without the right to that, which package blocklease keeps, and
 // nothing that its team's limit, or its share of that, does not allow. What it
 // is home to and which machines it holds stands in the lease value alone.
 package owner
@@ -11,41 +11,41 @@
 	"log/slog"
 	"time"
 
+	"fawncove/internal/core/blocklease"
 	"fawncove/internal/core/cluster"
-	"fawncove/internal/core/grant"
+	"fawncove/internal/core/eventloop"
 	"fawncove/internal/core/sched"
-	"fawncove/internal/core/served"
-	"fawncove/internal/core/step"
+	"fawncove/internal/core/servicereport"
 	"fawncove/internal/peerpb"
 	"fawncove/internal/wire"
 )
 
 // Records is the controller's dealing with the records of jobs in the state
 // service.
-type Records interface {
+type JobRecords interface {
 	// Ready tells whether workers may be answered at all.
-	Ready() bool
+	WorkersServed() bool
 	// Ended tells whether a job is known to be over.
-	Ended(id string) bool
+	HasEnded(id string) bool
 	// End stores the end of a job in a state, unless it has ended otherwise. It
 	// tries again as often as tries says when the record has changed; then is
 	// told whether an end is stored.
-	End(j *Job, state string, tries int, then func(stored bool))
+	StoreEnd(j *Job, state string, tries int, then func(stored bool))
 	// Key is where a job's record is stored.
-	Key(id string) string
+	JobKey(id string) string
 	// Basis are the conditions under which the lease value has not changed since.
-	Basis() []wire.Condition
+	LeaseUnchanged() []wire.Condition
 	// Users tells how many submissions are being stored, and when one last found
 	// no room in the write limit.
-	Users() (pending int, short time.Time)
+	UserWrites() (pending int, short time.Time)
 }
 
 // Owner is the state of the role. One goroutine owns it.
 type Owner struct {
-	loop    *step.Loop
+	loop    *eventloop.Loop
 	view    *cluster.View
-	hold    *grant.Holder
-	records Records
+	hold    *blocklease.Holder
+	records JobRecords
 	log     *slog.Logger
 
 	fresh   time.Time // all changes of jobs before this time are known
@@ -79,11 +79,11 @@
 	asking    int                  // such questions under way
 	cutUntil  map[string]time.Time // zones whose machines may yet come back together
 
-	used      map[string]sched.Amount // by team
-	startedAt map[string]time.Time    // when something of each team was last started
-	stopping  map[string]sched.Amount // the part of used that is being stopped
+	used      map[string]sched.Resources // by team
+	startedAt map[string]time.Time       // when something of each team was last started
+	stopping  map[string]sched.Resources // the part of used that is being stopped
 	classes   map[string]*classStats
-	Tally     served.Tally
+	Served    servicereport.Tally
 	inflow    sched.Inflow
 	placeDue  bool
 	placedAt  time.Time
@@ -94,7 +94,7 @@
 }
 
 // New returns the role of an owner that has no jobs and no machines yet.
-func New(loop *step.Loop, view *cluster.View, hold *grant.Holder, records Records, log *slog.Logger) *Owner {
+func New(loop *eventloop.Loop, view *cluster.View, hold *blocklease.Holder, records JobRecords, log *slog.Logger) *Owner {
 	return &Owner{loop: loop, view: view, hold: hold, records: records, log: log,
 		jobs:      map[string]*Job{},
 		homes:     map[string]uint64{},
@@ -107,16 +107,16 @@
 		hurried:   map[string]bool{},
 		strangers: map[string]bool{},
 		cutUntil:  map[string]time.Time{},
-		used:      map[string]sched.Amount{},
+		used:      map[string]sched.Resources{},
 		startedAt: map[string]time.Time{},
-		stopping:  map[string]sched.Amount{},
+		stopping:  map[string]sched.Resources{},
 		classes:   map[string]*classStats{},
 	}
 }
 
 // Known notes that all changes of jobs up to a revision, and all made before a moment,
 // have been taken in.
-func (o *Owner) Known(revision uint64, at time.Time) {
+func (o *Owner) ChangesKnown(revision uint64, at time.Time) {
 	o.seen = max(o.seen, revision)
 	if at.After(o.fresh) {
 		o.fresh = at
@@ -124,14 +124,14 @@
 }
 
 // Clear notes that all cancellations told to their users before a moment are known.
-func (o *Owner) Clear(at time.Time) {
+func (o *Owner) CancellationsKnown(at time.Time) {
 	if at.After(o.clear) {
 		o.clear = at
 	}
 }
 
 // Holds tells how many machines are in the block.
-func (o *Owner) Holds() int { return len(o.machines) }
+func (o *Owner) MachineCount() int { return len(o.machines) }
 
 // Job returns a job that is not over, or whose tasks are not all gone, or nil.
 func (o *Owner) Job(id string) *Job { return o.jobs[id] }
@@ -140,18 +140,18 @@
 func (o *Owner) Jobs() map[string]*Job { return o.jobs }
 
 // Stamp is what a job's record bears beside itself.
-type Stamp struct {
-	Version uint64
-	Born    uint64 // version under which it was first stored; 0: this one
-	Form    int    // of its envelope; 0: it has none
+type RecordInfo struct {
+	Version      uint64
+	FirstVersion uint64 // version under which it was first stored; 0: this one
+	Form         int    // of its envelope; 0: it has none
 }
 
 // Put takes in a job's record.
-func (o *Owner) Put(rec wire.JobRecord, at Stamp) {
+func (o *Owner) ApplyJob(rec wire.JobRecord, at RecordInfo) {
 	j := o.jobs[rec.ID]
 	if j == nil {
-		j = &Job{first: at.Born, waitSince: o.loop.Now}
-		if at.Born == 0 {
+		j = &Job{first: at.FirstVersion, waitSince: o.loop.Now}
+		if at.FirstVersion == 0 {
 			j.first = at.Version
 		}
 		o.jobs[rec.ID] = j
@@ -162,8 +162,8 @@
 	if at.Version <= j.Version {
 		return
 	}
-	mine, moved := o.Owns(j), j.Version != 0 && j.Rec.Shard != rec.Shard
-	j.Rec, j.Version, j.form = rec, at.Version, at.Form
+	mine, moved := o.Owns(j), j.Version != 0 && j.Record.Shard != rec.Shard
+	j.Record, j.Version, j.form = rec, at.Version, at.Form
 	if moved {
 		o.moved(j, at, mine)
 	}
@@ -172,7 +172,7 @@
 
 // Store stores completed tasks and the ends of jobs, and reads what earlier
 // owners stored. It is called with every tick.
-func (o *Owner) Store() {
+func (o *Owner) StorePending() {
 	o.readPages()
 	o.endJobs()
 	o.rewritePages()
@@ -182,7 +182,7 @@
 }
 
 // Check looks after the machines. It is called with every tick.
-func (o *Owner) Check() {
+func (o *Owner) CheckMachines() {
 	o.checkMachines()
 	o.askWorkers()
 	o.placeDue = true
@@ -190,14 +190,14 @@
 
 // Work places what waits, unless that was done a moment ago, and sends what
 // should not wait for reports. It ends every step.
-func (o *Owner) Work() {
+func (o *Owner) PlaceAndSend() {
 	o.placeSoon()
 	o.sendCommands()
 }
 
 // Leased takes in a newer lease value, in which the block is this process's:
 // the machines it holds, those that are recalled, and the homes that it has.
-func (o *Owner) Leased(b wire.Block) {
+func (o *Owner) ApplyBlock(b wire.Block) {
 	held := make(map[string]bool, len(b.Machines)+len(b.Unreconciled))
 	for _, name := range b.Machines {
 		held[name] = true
@@ -230,7 +230,7 @@
 }
 
 // GivesBack tells whether a machine of the block is to go back to the leader.
-func (o *Owner) GivesBack() bool {
+func (o *Owner) ReleasesMachines() bool {
 	for _, m := range o.machines {
 		if m.gave {
 			return true
@@ -253,7 +253,7 @@
 	o.machines[name] = m
 	o.orderDue = true
 	if dirty {
-		o.hold.Hurry() // the leader can tell how to reach it
+		o.hold.RequestRenewal() // the leader can tell how to reach it
 	}
 	g := o.guests[name]
 	if g == nil {
@@ -269,15 +269,15 @@
 func (o *Owner) settle() {
 	homes := o.view.Lease.Partitions
 	for home := range o.homes {
-		if homes[home] != o.view.Me {
+		if homes[home] != o.view.Self {
 			delete(o.homes, home)
 			o.leave(home)
 		}
 	}
 	gained := map[string]bool{}
 	for home, node := range homes {
-		if _, known := o.homes[home]; node == o.view.Me && !known {
-			o.homes[home], gained[home] = o.view.Version, true
+		if _, known := o.homes[home]; node == o.view.Self && !known {
+			o.homes[home], gained[home] = o.view.LeaseVersion, true
 		}
 	}
 	if len(gained) == 0 {
@@ -292,14 +292,14 @@
 }
 
 // Lose forgets all that the right to a block was the ground of.
-func (o *Owner) Lose() {
+func (o *Owner) ReleaseBlock() {
 	clear(o.machines)
 	o.orderDue = true
 	clear(o.used)
 	clear(o.homes)
 	for id, j := range o.jobs {
 		j.disown()
-		if j.Over {
+		if j.Ended {
 			delete(o.jobs, id)
 		}
 	}
--- a/internal/core/owner/owner_test.go
+++ b/internal/core/owner/owner_test.go
@@ -9,10 +9,10 @@
 	"time"
 
 	"fawncove/internal/config"
+	"fawncove/internal/core/blocklease"
 	"fawncove/internal/core/cluster"
-	"fawncove/internal/core/grant"
+	"fawncove/internal/core/eventloop"
 	"fawncove/internal/core/sched"
-	"fawncove/internal/core/step"
 	"fawncove/internal/peerpb"
 	"fawncove/internal/wire"
 )
@@ -20,12 +20,12 @@
 // noRecords stands in for the records of jobs.
 type noRecords struct{}
 
-func (noRecords) Ready() bool                              { return true }
-func (noRecords) Ended(string) bool                        { return false }
-func (noRecords) End(*Job, string, int, func(stored bool)) {}
-func (noRecords) Key(id string) string                     { return "fc/j/" + id }
-func (noRecords) Basis() []wire.Condition                  { return nil }
-func (noRecords) Users() (int, time.Time)                  { return 0, time.Time{} }
+func (noRecords) WorkersServed() bool                           { return true }
+func (noRecords) HasEnded(string) bool                          { return false }
+func (noRecords) StoreEnd(*Job, string, int, func(stored bool)) {}
+func (noRecords) JobKey(id string) string                       { return "fc/j/" + id }
+func (noRecords) LeaseUnchanged() []wire.Condition              { return nil }
+func (noRecords) UserWrites() (int, time.Time)                  { return 0, time.Time{} }
 
 // newOwner returns an owner to whom the lease value grants what it says of n0.
 func newOwner(t testing.TB, teams []config.Team, rec wire.LeaseRecord) (*Owner, time.Time) {
@@ -36,44 +36,44 @@
 			State:   config.State{RPS: 100, WriteRPS: 50, ValueKB: 8, TxnOps: 12},
 			Cloud:   config.Cloud{RPS: 5, ListLagS: 4}}}
 	now := time.Date(2026, 3, 1, 6, 0, 0, 0, time.UTC)
-	loop := &step.Loop{}
+	loop := &eventloop.Loop{}
 	loop.Begin(now)
 	par := cluster.Defaults()
-	view, hold := cluster.New(s, par), grant.New(7, par.Lease)
-	view.Types["s4"] = wire.MachineType{Name: "s4", CPUs: 4, MemoryGB: 16, CacheGB: 20, FetchGBPS: 1, Price: 1, SpotPrice: 0.3, BootS: 6, Zones: []string{"x", "y"}}
-	view.Take(rec, 5)
+	view, hold := cluster.New(s, par), blocklease.New(7, par.LeaseDuration)
+	view.MachineTypes["s4"] = wire.MachineType{Name: "s4", CPUs: 4, MemoryGB: 16, CacheGB: 20, FetchGBPS: 1, Price: 1, SpotPrice: 0.3, BootS: 6, Zones: []string{"x", "y"}}
+	view.ApplyLease(rec, 5)
 	o := New(loop, view, hold, noRecords{}, slog.New(slog.NewTextHandler(io.Discard, nil)))
-	o.Known(o.view.Version, now)
-	hold.Granted(rec.Blocks["n0"])
-	o.Leased(rec.Blocks["n0"])
+	o.ChangesKnown(o.view.LeaseVersion, now)
+	hold.Renewed(rec.Blocks["n0"])
+	o.ApplyBlock(rec.Blocks["n0"])
 	return o, now
 }
 
-func tick(o *Owner, now time.Time) []step.Effect {
+func tick(o *Owner, now time.Time) []eventloop.Effect {
 	o.loop.Begin(now)
-	o.Store()
-	o.Check()
-	o.Work()
+	o.StorePending()
+	o.CheckMachines()
+	o.PlaceAndSend()
 	return o.loop.Effects()
 }
 
-func report(o *Owner, now time.Time, r step.ReportIn) {
+func report(o *Owner, now time.Time, r eventloop.HeartbeatRequest) {
 	o.loop.Begin(now)
-	o.Report(r)
-	o.Work()
+	o.HandleHeartbeat(r)
+	o.PlaceAndSend()
 }
 
-func complete(o *Owner, now time.Time, d step.Completed) {
+func complete(o *Owner, now time.Time, d eventloop.Completion) {
 	o.loop.Begin(now)
 	o.loop.Complete(d)
-	o.Work()
+	o.PlaceAndSend()
 }
 
 // mayStart has the lease value honour a renewal sent at this moment.
 func mayStart(o *Owner) {
 	b := o.view.Lease.Blocks["n0"]
-	b.Renewal = o.hold.Sent(o.loop.Now)
-	o.hold.Granted(b)
+	b.Renewal = o.hold.RecordRenewal(o.loop.Now)
+	o.hold.Renewed(b)
 }
 
 // TestUnheardMachineIsNotGivenBack guards against a machine being given back
@@ -92,14 +92,14 @@
 		t.Fatal("given back before it was heard")
 	}
 	r := wire.Heartbeat{Machine: m.name, Endpoint: "10.1.0.1:9000", Type: "s4", Zone: "x", AgentEpoch: 1, Sequence: 3}
-	report(c, now.Add(2*time.Second), step.ReportIn{Req: 1, Report: r}) // from before it saw our token
+	report(c, now.Add(2*time.Second), eventloop.HeartbeatRequest{Req: 1, Heartbeat: r}) // from before it saw our token
 	tick(c, now.Add(2100*time.Millisecond))
 	if m.gave {
 		t.Fatal("given back before it had seen the new token")
 	}
 	r.Sequence, r.Token = 4, c.tokenFor(m)
 	c.fresh = now.Add(2 * time.Second)
-	report(c, now.Add(3*time.Second), step.ReportIn{Req: 2, Report: r})
+	report(c, now.Add(3*time.Second), eventloop.HeartbeatRequest{Req: 2, Heartbeat: r})
 	tick(c, now.Add(3200*time.Millisecond))
 	if !m.gave {
 		t.Error("not given back though it is known to be empty")
@@ -117,14 +117,14 @@
 	}
 	a, now := newOwner(t, []config.Team{{Name: "free"}}, lease)
 	for i := range 40 {
-		a.Put(job(i), Stamp{Version: uint64(10 + i)})
-		for k := 0; k < a.jobs[job(i).ID].Rec.Tasks; k += 7 + i {
+		a.ApplyJob(job(i), RecordInfo{Version: uint64(10 + i)})
+		for k := 0; k < a.jobs[job(i).ID].Record.Tasks; k += 7 + i {
 			a.markDone(a.jobs[job(i).ID], k)
 		}
 	}
 	stored := map[string]any{}
 	for _, e := range tick(a, now.Add(flushEvery+time.Second)) {
-		if txn, ok := e.(step.StateTxn); ok {
+		if txn, ok := e.(eventloop.StateTxn); ok {
 			for _, op := range txn.Txn.Then {
 				body, err := wire.Encode(op.Value)
 				if err != nil || len(body) > 8<<10 {
@@ -139,7 +139,7 @@
 	}
 	b, _ := newOwner(t, []config.Team{{Name: "free"}}, lease)
 	for i := range 40 {
-		b.Put(job(i), Stamp{Version: uint64(3)}) // before the lease: taken over
+		b.ApplyJob(job(i), RecordInfo{Version: uint64(3)}) // before the lease: taken over
 	}
 	for key, body := range stored {
 		b.readPage(key, body.([]byte))
@@ -147,8 +147,8 @@
 	for i := range 40 {
 		j := b.jobs[job(i).ID]
 		b.takeFacts(j)
-		if want := a.jobs[j.Rec.ID].doneCount; j.doneCount != want || want == 0 {
-			t.Errorf("%s: %d tasks known to be completed, want %d", j.Rec.ID, j.doneCount, want)
+		if want := a.jobs[j.Record.ID].doneCount; j.doneCount != want || want == 0 {
+			t.Errorf("%s: %d tasks known to be completed, want %d", j.Record.ID, j.doneCount, want)
 		}
 	}
 }
@@ -173,7 +173,7 @@
 			core.fresh = now
 			for i, name := range names {
 				if i >= c.silent || s < 2 {
-					report(core, now, step.ReportIn{Req: 1, Report: wire.Heartbeat{Machine: name, Endpoint: "e", Type: "s4", Zone: []string{"x", "y"}[i%2],
+					report(core, now, eventloop.HeartbeatRequest{Req: 1, Heartbeat: wire.Heartbeat{Machine: name, Endpoint: "e", Type: "s4", Zone: []string{"x", "y"}[i%2],
 						Spot: i < c.spot, AgentEpoch: 1, Sequence: uint64(s + 1), Token: core.tokenFor(core.machines[name])}})
 				}
 			}
@@ -207,7 +207,7 @@
 		core.fresh = now
 		for i, name := range names {
 			if back := s - 22; s < 2 || i < 4*back {
-				report(core, now, step.ReportIn{Req: 1, Report: wire.Heartbeat{Machine: name, Endpoint: "e", Type: "s4", Zone: "x",
+				report(core, now, eventloop.HeartbeatRequest{Req: 1, Heartbeat: wire.Heartbeat{Machine: name, Endpoint: "e", Type: "s4", Zone: "x",
 					AgentEpoch: 1, Sequence: uint64(s + 1), Token: core.tokenFor(core.machines[name])}})
 			}
 		}
@@ -236,7 +236,7 @@
 		Partitions: map[string]string{"free": "n0"}})
 	mayStart(c)
 	job := func(id string, shape wire.Shape, spot bool) *Job {
-		c.Put(wire.JobRecord{Job: wire.Job{ID: id, Team: "free", Shape: shape, Priority: "standard", Tasks: 1, CPUs: 1, Spot: spot}}, Stamp{Version: 3})
+		c.ApplyJob(wire.JobRecord{Job: wire.Job{ID: id, Team: "free", Shape: shape, Priority: "standard", Tasks: 1, CPUs: 1, Spot: spot}}, RecordInfo{Version: 3})
 		j := c.jobs[id]
 		j.reading = false
 		c.jobReady(j)
@@ -245,7 +245,7 @@
 	service, array := job("wk-000001", wire.Daemon, false), job("wk-000002", wire.Array, true)
 	ordinary, spot := c.machines["host-000001"], c.machines["host-000002"]
 	r := wire.Heartbeat{Machine: ordinary.name, Endpoint: "e1", Type: "s4", Zone: "x", AgentEpoch: 1, Sequence: 3, Token: c.tokenFor(ordinary)}
-	report(c, now.Add(time.Second), step.ReportIn{Req: 1, Report: r})
+	report(c, now.Add(time.Second), eventloop.HeartbeatRequest{Req: 1, Heartbeat: r})
 	if len(service.runs) != 0 || len(array.runs) != 0 {
 		t.Fatal("started though a machine may run anything")
 	}
@@ -273,7 +273,7 @@
 			Blocks: map[string]wire.Block{"n0": {Grant: 1 << 18, Incarnation: 7, Machines: names}}, Partitions: map[string]string{"free": "n0"}})
 		mayStart(c)
 		asked := 0
-		var answer []step.Completed
+		var answer []eventloop.Completion
 		for s := range 9 { // the last report is 7 s old at the end
 			now = now.Add(time.Second)
 			c.fresh = now
@@ -284,16 +284,16 @@
 			for i, name := range names {
 				rep := wire.Heartbeat{Machine: name, Endpoint: name, Type: "s4", Zone: "x", Spot: i == 0, AgentEpoch: 1, Sequence: uint64(s + 1), Token: c.tokenFor(c.machines[name])}
 				if i > 0 || s < 2 {
-					report(c, now, step.ReportIn{Req: 1, Report: rep})
+					report(c, now, eventloop.HeartbeatRequest{Req: 1, Heartbeat: rep})
 				}
 			}
 			for _, e := range tick(c, now.Add(100*time.Millisecond)) {
-				if d, ok := e.(step.Direct); ok && d.Endpoint == names[0] {
+				if d, ok := e.(eventloop.WorkerCommands); ok && d.Endpoint == names[0] {
 					asked++
-					done := step.Completed{ID: d.ID}
+					done := eventloop.Completion{ID: d.ID}
 					if answers {
 						done.Status = 200
-						done.Report = &wire.Heartbeat{Machine: names[0], Endpoint: names[0], Type: "s4", Zone: "x", Spot: true, AgentEpoch: 1, Sequence: uint64(100 + s), Token: d.Body.Token}
+						done.Heartbeat = &wire.Heartbeat{Machine: names[0], Endpoint: names[0], Type: "s4", Zone: "x", Spot: true, AgentEpoch: 1, Sequence: uint64(100 + s), Token: d.Body.Token}
 					}
 					answer = append(answer, done)
 				}
@@ -317,11 +317,11 @@
 			Blocks: map[string]wire.Block{"n0": {Grant: 1 << 18, Incarnation: 7, Machines: wire.NameSet{"host-000001"}}}, Partitions: map[string]string{"free": "n0"}})
 		mayStart(c)
 		submit := func(id string, shape wire.Shape, priority string, tasks int, spot bool) *Job {
-			c.Put(wire.JobRecord{Job: wire.Job{ID: id, Team: "free", Shape: shape, Priority: priority, Tasks: tasks, CPUs: 1, Spot: spot}}, Stamp{Version: 6})
+			c.ApplyJob(wire.JobRecord{Job: wire.Job{ID: id, Team: "free", Shape: shape, Priority: priority, Tasks: tasks, CPUs: 1, Spot: spot}}, RecordInfo{Version: 6})
 			return c.jobs[id]
 		}
 		urgent := submit("wk-000001", wire.Array, "urgent", 40, spot)
-		report(c, now.Add(time.Second), step.ReportIn{Req: 1, Report: wire.Heartbeat{Machine: "host-000001", Endpoint: "e", Type: "s4", Zone: "x", AgentEpoch: 1, Sequence: 3, Token: c.hold.Token(0)}})
+		report(c, now.Add(time.Second), eventloop.HeartbeatRequest{Req: 1, Heartbeat: wire.Heartbeat{Machine: "host-000001", Endpoint: "e", Type: "s4", Zone: "x", AgentEpoch: 1, Sequence: 3, Token: c.hold.Token(0)}})
 		if len(urgent.runs) != 4 {
 			t.Fatalf("%d urgent tasks started, want 4", len(urgent.runs))
 		}
@@ -364,14 +364,14 @@
 		{"a machine runs what is not known", nil, func(o *Owner, j *Job) { o.machines["host-000001"].orphans = 1 }, nil},
 		{"a completed task is not stored", nil, func(o *Owner, j *Job) { o.markDone(j, 3) }, []string{"red #2"}},
 		{"a completed task is stored", nil, func(o *Owner, j *Job) { o.markDone(j, 3); j.stored[0] = 1 << 3 }, []string{"red #3"}},
-		{"its end is being stored", nil, func(o *Owner, j *Job) { j.Writing = true }, []string{"red #2"}},
+		{"its end is being stored", nil, func(o *Owner, j *Job) { j.EndInFlight = true }, []string{"red #2"}},
 		{"what was completed is still being read", nil, func(o *Owner, j *Job) { j.ready = false }, []string{"red #2"}},
 		{"it was offered a moment ago", nil, func(o *Owner, j *Job) { o.offered["red #3"] = o.loop.Now }, []string{"red #2"}},
-		{"the others are out of reach", nil, func(o *Owner, j *Job) { o.view.Peers["n1"].Heard = time.Time{} }, nil},
+		{"the others are out of reach", nil, func(o *Owner, j *Job) { o.view.Peers["n1"].LastFrame = time.Time{} }, nil},
 	} {
 		o, now := newOwner(t, []config.Team{{Name: "red"}}, twoHomes(c.old))
-		o.view.Peers["n1"].Heard = now
-		o.Put(wire.JobRecord{Job: wire.Job{ID: "wk-000001", Team: "red", Shape: wire.Array, Priority: "standard", Tasks: 8, CPUs: 1}, Shard: "red #3"}, Stamp{Version: 9})
+		o.view.Peers["n1"].LastFrame = now
+		o.ApplyJob(wire.JobRecord{Job: wire.Job{ID: "wk-000001", Team: "red", Shape: wire.Array, Priority: "standard", Tasks: 8, CPUs: 1}, Shard: "red #3"}, RecordInfo{Version: 9})
 		c.do(o, o.jobs["wk-000001"])
 		if got := o.yields(); !slices.Equal(got, c.want) {
 			t.Errorf("%s: offers %v, want %v", c.name, got, c.want)
@@ -385,14 +385,14 @@
 func TestOfferedHomeStaysQuiet(t *testing.T) {
 	rec := twoHomes(nil)
 	o, now := newOwner(t, []config.Team{{Name: "red"}}, rec)
-	o.view.Peers["n1"].Heard = now
+	o.view.Peers["n1"].LastFrame = now
 	mayStart(o)
 	m := o.machines["host-000001"]
-	m.kind, m.zone, m.session, m.endpoint, m.size = "s4", "x", 1, "e", sched.Amount{CPUs: 4, MemoryGB: 16}
-	o.Put(wire.JobRecord{Job: wire.Job{ID: "wk-000001", Team: "red", Shape: wire.Array, Priority: "standard", Tasks: 8, CPUs: 1}, Shard: "red #3"}, Stamp{Version: 9})
+	m.kind, m.zone, m.session, m.endpoint, m.size = "s4", "x", 1, "e", sched.Resources{CPUs: 4, MemoryGB: 16}
+	o.ApplyJob(wire.JobRecord{Job: wire.Job{ID: "wk-000001", Team: "red", Shape: wire.Array, Priority: "standard", Tasks: 8, CPUs: 1}, Shard: "red #3"}, RecordInfo{Version: 9})
 	j := o.jobs["wk-000001"]
-	r := &peerpb.Renewal{Number: o.hold.Sent(now)}
-	o.Promise(r)
+	r := &peerpb.Renewal{Number: o.hold.RecordRenewal(now)}
+	o.ReserveQuota(r)
 	if !slices.Equal(r.Handovers, []string{"red #3"}) || r.Grant != 1<<18 {
 		t.Fatalf("offers %v under grant %d", r.Handovers, r.Grant)
 	}
@@ -406,9 +406,9 @@
 		b := next.Blocks["n0"]
 		b.Renewal = r.Number
 		next.Blocks["n0"], next.Partitions["red #3"] = b, node
-		o.view.Take(next, version)
-		o.hold.Granted(b)
-		o.Leased(b)
+		o.view.ApplyLease(next, version)
+		o.hold.Renewed(b)
+		o.ApplyBlock(b)
 	}
 	lease(10, "n1")
 	o.place()
--- a/internal/core/owner/pages.go
+++ b/internal/core/owner/pages.go
@@ -9,8 +9,8 @@
 	"time"
 
 	"fawncove/internal/core/cluster"
-	"fawncove/internal/core/gate"
-	"fawncove/internal/core/step"
+	"fawncove/internal/core/eventloop"
+	"fawncove/internal/core/feature"
 	"fawncove/internal/wire"
 )
 
@@ -71,10 +71,10 @@
 
 // noteDone puts a stretch of a job on a page, to be stored.
 func (o *Owner) noteDone(j *Job, i int) {
-	key := entryKey(j.Rec.ID, i)
+	key := entryKey(j.Record.ID, i)
 	p := o.pageOf[key]
 	if p == nil {
-		tasks := min(j.Rec.Tasks-i/chunk*chunk, chunk)
+		tasks := min(j.Record.Tasks-i/chunk*chunk, chunk)
 		bytes := len(key) + (tasks/8+1)*4/3 + 12
 		p = o.pageFor(bytes)
 		p.entries[key] = bytes
@@ -88,7 +88,7 @@
 
 // pageFor returns a page with room, a new one if need be.
 func (o *Owner) pageFor(bytes int) *page {
-	most := int(pageFill * 1024 * o.view.Cfg.Cluster.State.ValueKB)
+	most := int(pageFill * 1024 * o.view.Settings.Cluster.State.ValueKB)
 	for _, p := range o.pages {
 		if !p.foreign && (p.size == 0 || p.size+bytes <= most) {
 			return p
@@ -102,8 +102,8 @@
 // dropEntries takes a job that is over off its pages. They are not written
 // for that: the next write leaves the job out.
 func (o *Owner) dropEntries(j *Job) {
-	for i := 0; i < j.Rec.Tasks; i += chunk {
-		key := entryKey(j.Rec.ID, i)
+	for i := 0; i < j.Record.Tasks; i += chunk {
+		key := entryKey(j.Record.ID, i)
 		delete(o.facts, key)
 		if p := o.pageOf[key]; p != nil {
 			p.size -= p.entries[key]
@@ -125,13 +125,13 @@
 
 // writePage stores a page as it stands. Only then may the workers forget.
 func (o *Owner) writePage(n int, p *page) {
-	key := PagePrefix + o.view.Me + "/" + strconv.Itoa(n)
+	key := PagePrefix + o.view.Self + "/" + strconv.Itoa(n)
 	value := make(map[string]string, len(p.entries))
 	for entry := range p.entries {
 		raw := o.facts[entry]
 		id, k, _ := splitEntry(entry)
 		if j := o.jobs[id]; j != nil && j.done != nil {
-			raw = Merge(raw, j.bits(k))
+			raw = MergeCompleted(raw, j.bits(k))
 		}
 		o.facts[entry] = raw
 		value[entry] = base64.RawStdEncoding.EncodeToString(raw)
@@ -142,11 +142,11 @@
 		written[entry] = o.facts[entry]
 	}
 	p.busy, p.dirtyAt = true, time.Time{}
-	o.loop.Emit(step.StateTxn{
+	o.loop.Emit(eventloop.StateTxn{
 		// Under the version it was based on: a late transaction of an earlier
 		// process, or an earlier try, cannot take anything back.
 		Txn: wire.Txn{If: []wire.Condition{{Key: key, Version: p.version}}, Then: []wire.Op{{Put: key, Value: stored}}},
-		ID: o.loop.Call(func(d step.Completed) {
+		ID: o.loop.Call(func(d eventloop.Completion) {
 			p.busy = false
 			if d.Status == 200 {
 				p.version, p.form = d.Txn.Revision, form
@@ -162,7 +162,7 @@
 			}
 			// Somebody else's version, or perhaps this one and only the answer was lost.
 			p.busy = true
-			o.loop.Emit(step.StateGet{Key: key, ID: o.loop.Call(func(d step.Completed) {
+			o.loop.Emit(eventloop.StateGet{Key: key, ID: o.loop.Call(func(d eventloop.Completion) {
 				p.busy = false
 				stored := false
 				switch d.Status {
@@ -196,14 +196,14 @@
 		}
 		id, _, _ := splitEntry(entry)
 		j := o.jobs[id]
-		whole = whole && (j == nil || j.Over || (err == nil && bytes.Equal(Merge(written[entry], found), found)))
+		whole = whole && (j == nil || j.Ended || (err == nil && bytes.Equal(MergeCompleted(written[entry], found), found)))
 	}
 	return whole
 }
 
 // bits returns the completed tasks of stretch k, a bit a task.
 func (j *Job) bits(k int) []byte {
-	from, to := k*chunk, min(j.Rec.Tasks, (k+1)*chunk)
+	from, to := k*chunk, min(j.Record.Tasks, (k+1)*chunk)
 	raw := make([]byte, (max(0, to-from)+7)/8)
 	for i := from; i < to; i++ {
 		if j.isDone(i) {
@@ -214,7 +214,7 @@
 }
 
 // Merge returns the tasks in a or in b.
-func Merge(a, b []byte) []byte {
+func MergeCompleted(a, b []byte) []byte {
 	if len(a) < len(b) {
 		a, b = b, a
 	}
@@ -234,7 +234,7 @@
 	}
 	for b, v := range raw {
 		for ; v != 0; v &= v - 1 {
-			if i := k*chunk + b*8 + bits.TrailingZeros8(v); i < j.Rec.Tasks {
+			if i := k*chunk + b*8 + bits.TrailingZeros8(v); i < j.Record.Tasks {
 				j.stored[i/64] |= 1 << (i % 64)
 			}
 		}
@@ -256,11 +256,11 @@
 			delete(entries, entry)
 			continue
 		}
-		if j := o.jobs[id]; j == nil || j.Over {
+		if j := o.jobs[id]; j == nil || j.Ended {
 			delete(entries, entry)
 			continue
 		}
-		o.facts[entry] = Merge(o.facts[entry], raw)
+		o.facts[entry] = MergeCompleted(o.facts[entry], raw)
 	}
 	return env, entries, nil
 }
@@ -272,9 +272,9 @@
 		return
 	}
 	// An earlier process's pages are known only once they have been read.
-	waiting := !o.pagesRead && o.view.Open(gate.Envelope)
+	waiting := !o.pagesRead && o.view.FeatureOpen(feature.Envelope)
 	for _, j := range o.jobs {
-		waiting = waiting || (j.reading && !j.Over)
+		waiting = waiting || (j.reading && !j.Ended)
 	}
 	if !waiting {
 		return
@@ -284,7 +284,7 @@
 	read := o.pageReads
 	var next func(after string)
 	next = func(after string) {
-		o.loop.Emit(step.StateRange{Prefix: PagePrefix, After: after, ID: o.loop.Call(func(d step.Completed) {
+		o.loop.Emit(eventloop.StateRange{Prefix: PagePrefix, After: after, ID: o.loop.Call(func(d eventloop.Completion) {
 			if d.Status != 200 {
 				o.pagesBusy = false
 				o.pagesNext = o.loop.Now.Add(300 * time.Millisecond)
@@ -303,7 +303,7 @@
 			for _, id := range cluster.SortedKeys(o.jobs) {
 				// Only a read that began after the job became this
 				// controller's shows all that earlier owners stored.
-				if j := o.jobs[id]; j.reading && j.readFrom <= read && !j.Over && o.Owns(j) {
+				if j := o.jobs[id]; j.reading && j.readFrom <= read && !j.Ended && o.Owns(j) {
 					j.reading = false
 					o.takeFacts(j)
 					o.jobReady(j)
@@ -316,7 +316,7 @@
 
 // ownPage takes up a page that an earlier process of this controller wrote.
 func (o *Owner) ownPage(key string, version uint64, env wire.Envelope, entries map[string]string, err error) {
-	num, ok := strings.CutPrefix(key, PagePrefix+o.view.Me+"/")
+	num, ok := strings.CutPrefix(key, PagePrefix+o.view.Self+"/")
 	n, bad := strconv.Atoi(num)
 	if !ok || bad != nil || n < 0 || n > 1000 {
 		return
@@ -349,7 +349,7 @@
 	for _, entry := range entries {
 		delete(o.pageOf, entry)
 		id, k, ok := splitEntry(entry)
-		if j := o.jobs[id]; ok && j != nil && !j.Over && o.Owns(j) {
+		if j := o.jobs[id]; ok && j != nil && !j.Ended && o.Owns(j) {
 			o.noteDone(j, k*chunk)
 		}
 	}
@@ -357,13 +357,13 @@
 
 // takeFacts marks the tasks of a job that are stored as completed.
 func (o *Owner) takeFacts(j *Job) {
-	for i := 0; i < j.Rec.Tasks; i += chunk {
-		key := entryKey(j.Rec.ID, i)
+	for i := 0; i < j.Record.Tasks; i += chunk {
+		key := entryKey(j.Record.ID, i)
 		raw := o.facts[key]
 		o.storedAt(key, raw)
 		for b, v := range raw {
 			for ; v != 0; v &= v - 1 {
-				if t := i + b*8 + bits.TrailingZeros8(v); t < j.Rec.Tasks {
+				if t := i + b*8 + bits.TrailingZeros8(v); t < j.Record.Tasks {
 					o.markDone(j, t)
 				}
 			}
--- a/internal/core/owner/place.go
+++ b/internal/core/owner/place.go
@@ -25,16 +25,16 @@
 	}
 	var list []entry
 	for _, j := range o.jobs {
-		if !o.Owns(j) || !j.ready || j.Over || len(j.queue) == 0 || o.loop.Now.Before(j.notBefore) || o.hold.Yielded(j.home()) || j.leaving != 0 || !o.current(j) {
+		if !o.Owns(j) || !j.ready || j.Ended || len(j.queue) == 0 || o.loop.Now.Before(j.notBefore) || o.hold.HandoverOffered(j.home()) || j.leaving != 0 || !o.current(j) {
 			continue
 		}
 		list = append(list, entry{j, sched.Ready{
-			Rank:      j.Rec.Rank(),
+			Rank:      j.Record.Rank(),
 			Borrowing: o.borrowing(j),
-			Rating:    sched.Rate(successorKind(&j.Rec), o.view.Lease.Waiting, o.view.Par.K2),
+			Rating:    sched.Rate(successorKind(&j.Record), o.view.Lease.Waiting, o.view.Params.LookAheadThreshold),
 			Due:       o.dueStart(j),
-			Arrival:   j.Rec.SubmittedAtMs,
-			ID:        j.Rec.ID,
+			Arrival:   j.Record.SubmittedAtMs,
+			ID:        j.Record.ID,
 		}})
 	}
 	slices.SortFunc(list, func(a, b entry) int {
@@ -55,8 +55,8 @@
 // the nearest of those that can still be met. A job that is late whatever is
 // done now yields to those that can still make it.
 func (o *Owner) dueStart(j *Job) int64 {
-	run := o.runSeconds(&j.Rec)
-	waited := float64(o.loop.Now.UnixMilli()-j.Rec.SubmittedAtMs) / 1000
+	run := o.runSeconds(&j.Record)
+	waited := float64(o.loop.Now.UnixMilli()-j.Record.SubmittedAtMs) / 1000
 	best := math.Inf(1)
 	consider := func(within float64) {
 		// Estimates are off: a fifth of the run time is given the benefit of
@@ -65,12 +65,12 @@
 			best = min(best, start)
 		}
 	}
-	if j.Rec.DeadlineS != nil {
-		consider(*j.Rec.DeadlineS)
+	if j.Record.DeadlineS != nil {
+		consider(*j.Record.DeadlineS)
 	}
-	for _, o := range o.view.Cfg.Cluster.Objectives {
+	for _, o := range o.view.Settings.Cluster.Objectives {
 		switch {
-		case o.Class != j.Rec.Class || o.WithinS <= 0:
+		case o.Class != j.Record.Class || o.WithinS <= 0:
 		case o.Kind == "finished":
 			consider(o.WithinS)
 		case o.Kind == "wait" && o.WithinS >= longWait && waited <= o.WithinS:
@@ -80,7 +80,7 @@
 	if math.IsInf(best, 1) {
 		best = noDeadline
 	}
-	return j.Rec.SubmittedAtMs + int64(1000*best)
+	return j.Record.SubmittedAtMs + int64(1000*best)
 }
 
 // runsMost bounds the attempts on a machine, ended ones that its worker has not
@@ -104,12 +104,12 @@
 // borrowing tells whether one more task of the job takes its team beyond its
 // guarantee; a team without one always borrows.
 func (o *Owner) borrowing(j *Job) bool {
-	g := o.view.GuaranteeOf(j.Rec.Team)
-	return !g.Any() || !g.Allows(o.usedByAll(j.Rec.Team), j.need())
+	g := o.view.GuaranteeOf(j.Record.Team)
+	return !g.Any() || !g.Allows(o.usedByAll(j.Record.Team), j.need())
 }
 
 // free is what a machine has left.
-func (m *machine) free() sched.Amount {
+func (m *machine) free() sched.Resources {
 	a := m.size
 	for _, r := range m.runs {
 		if r.j != nil && !r.over() {
@@ -125,7 +125,7 @@
 // works tells whether a machine could take new tasks, whether or not the leader wants
 // it back.
 func (o *Owner) works(m *machine) bool {
-	silence := config.Seconds(1.3*o.view.Cfg.Cluster.Workers.ReportS) + 700*time.Millisecond
+	silence := config.Seconds(1.3*o.view.Settings.Cluster.Workers.ReportS) + 700*time.Millisecond
 	return !m.gave && !m.bad && !m.lost && !m.unsure() && m.hears() && m.gone.IsZero() &&
 		m.session != 0 && m.size.CPUs > 0 && !o.loop.Now.Before(m.pauseTo) && o.loop.Now.Sub(m.heard) < silence
 }
@@ -133,8 +133,8 @@
 // spot is a usable machine with its room, while places are chosen.
 type spot struct {
 	m       *machine
-	free    sched.Amount
-	soon    sched.Amount // with what is being stopped there
+	free    sched.Resources
+	soon    sched.Resources // with what is being stopped there
 	dear    float64
 	running []*run // what could be stopped there, listed when first asked for
 	listed  bool
@@ -192,7 +192,7 @@
 	// against every limit.
 	var unknown []*machine
 	clear(o.stopping)
-	var hidden sched.Amount
+	var hidden sched.Resources
 	var spots []*spot
 	dear := o.dearness()
 	late := slices.ContainsFunc(jobs, o.waitsLong)
@@ -206,7 +206,7 @@
 			s.soon = s.free
 			for _, r := range m.runs {
 				if r.stop && r.j != nil && !r.over() {
-					o.stopping[r.j.Rec.Team] = o.stopping[r.j.Rec.Team].Add(r.j.need(), 1)
+					o.stopping[r.j.Record.Team] = o.stopping[r.j.Record.Team].Add(r.j.need(), 1)
 					s.soon = s.soon.Add(r.j.need(), 1)
 				}
 			}
@@ -223,7 +223,7 @@
 		if o.waitsForUnknown(j, unknown) {
 			continue
 		}
-		if j.Rec.Shape == wire.Group {
+		if j.Record.Shape == wire.Group {
 			o.placeGang(j, spots, hidden)
 			continue
 		}
@@ -247,25 +247,25 @@
 // mostFree is the most that any spot has free of each resource. A task that
 // needs more fits nowhere, which on a full fleet spares a look at every machine
 // for every job.
-func mostFree(spots []*spot) sched.Amount {
-	var a sched.Amount
+func mostFree(spots []*spot) sched.Resources {
+	var a sched.Resources
 	for _, s := range spots {
-		a = sched.Amount{CPUs: max(a.CPUs, s.free.CPUs), Cards: max(a.Cards, s.free.Cards), MemoryGB: max(a.MemoryGB, s.free.MemoryGB)}
+		a = sched.Resources{CPUs: max(a.CPUs, s.free.CPUs), GPUs: max(a.GPUs, s.free.GPUs), MemoryGB: max(a.MemoryGB, s.free.MemoryGB)}
 	}
 	return a
 }
 
 // placeTasks places as many of the job's waiting tasks as there is room for,
 // and tells whether there was any for the first of them.
-func (o *Owner) placeTasks(j *Job, spots []*spot, hidden sched.Amount) bool {
-	if j.Rec.SamePlace || j.Rec.Scatter {
+func (o *Owner) placeTasks(j *Job, spots []*spot, hidden sched.Resources) bool {
+	if j.Record.SamePlace || j.Record.Scatter {
 		// Where the next one may go depends on where the last one went.
 		n := len(j.queue)
 		for len(j.queue) > 0 && o.placeOne(j, spots, hidden) != nil {
 		}
 		return len(j.queue) < n
 	}
-	need, limit := j.need(), o.ceilingOf(j.Rec.Team)
+	need, limit := j.need(), o.ceilingOf(j.Record.Team)
 	o.choices = o.choices[:0]
 	for _, s := range spots {
 		if o.takes(s, j) && need.Fits(s.free) && o.allowed(j, s.m) {
@@ -273,7 +273,7 @@
 		}
 	}
 	found := len(o.choices) > 0
-	for len(j.queue) > 0 && j.mayTry() && len(o.choices) > 0 && limit.Allows(o.used[j.Rec.Team].Add(hidden, 1), need) {
+	for len(j.queue) > 0 && j.mayTry() && len(o.choices) > 0 && limit.Allows(o.used[j.Record.Team].Add(hidden, 1), need) {
 		best := 0
 		for i := range o.choices {
 			if o.choices[i].cost < o.choices[best].cost {
@@ -297,8 +297,8 @@
 }
 
 func (o *Owner) costOf(j *Job, s *spot) float64 {
-	return sched.Cost(j.need(), sched.Place{Free: s.free, Size: s.m.size,
-		FetchS: s.m.fetchSeconds(j, o.view.Types[s.m.kind].FetchGBPS), Dear: s.dear}, j.Rec.Rank() <= 1)
+	return sched.Cost(j.need(), sched.Candidate{Free: s.free, Size: s.m.size,
+		ImageFetchS: s.m.fetchSeconds(j, o.view.MachineTypes[s.m.kind].FetchGBPS), RelativePrice: s.dear}, j.Record.Rank() <= 1)
 }
 
 const (
@@ -324,28 +324,28 @@
 // other teams run beyond theirs. Work of the same or a higher priority is
 // otherwise left alone. Each machine is looked at once; the next look finds
 // what else it could give.
-func (o *Owner) preempt(j *Job, spots []*spot, hidden sched.Amount) {
-	if len(j.queue) == 0 || j.Rec.Shape == wire.Group {
+func (o *Owner) preempt(j *Job, spots []*spot, hidden sched.Resources) {
+	if len(j.queue) == 0 || j.Record.Shape == wire.Group {
 		return
 	}
 	need := j.need()
-	used := o.used[j.Rec.Team].Add(hidden, 1)
-	all := o.usedByAll(j.Rec.Team).Add(hidden, 1)
-	limit := o.ceilingOf(j.Rec.Team)
-	within := o.view.GuaranteeOf(j.Rec.Team)
+	used := o.used[j.Record.Team].Add(hidden, 1)
+	all := o.usedByAll(j.Record.Team).Add(hidden, 1)
+	limit := o.ceilingOf(j.Record.Team)
+	within := o.view.GuaranteeOf(j.Record.Team)
 	owed := within.Any() && within.Allows(all, need)
-	if j.Rec.Rank() > 1 && !owed {
+	if j.Record.Rank() > 1 && !owed {
 		return
 	}
 	most := lostOwed
-	if j.Rec.Rank() <= 1 {
+	if j.Record.Rank() <= 1 {
 		most = lostUrgent
 	}
 	left := min(len(j.queue), preemptMost)
 	// next tells whether one more task may be made room for, and counts it.
 	next := func() bool {
 		owed = within.Any() && within.Allows(all, need)
-		if left == 0 || !limit.Allows(used, need) || (j.Rec.Rank() > 1 && !owed) {
+		if left == 0 || !limit.Allows(used, need) || (j.Record.Rank() > 1 && !owed) {
 			return false
 		}
 		left--
@@ -374,14 +374,14 @@
 			lost := 0.0
 			if r.state == wire.TaskRunning {
 				lost = o.loop.Now.Sub(r.started).Seconds()
-				if r.j.Rec.CheckpointS > 0 {
-					lost = r.j.Rec.SaveS
+				if r.j.Record.CheckpointS > 0 {
+					lost = r.j.Record.SaveS
 				}
 			}
-			victims = append(victims, sched.Victim{Index: len(runs), Frees: r.j.need(), Lost: lost * r.j.Rec.CPUs})
+			victims = append(victims, sched.Victim{Index: len(runs), Frees: r.j.need(), LostWork: lost * r.j.Record.CPUs})
 			runs = append(runs, r)
 		}
-		stop, lost := sched.Evict(need, s.soon, victims, most*need.CPUs)
+		stop, lost := sched.ChooseVictims(need, s.soon, victims, most*need.CPUs)
 		if len(stop) == 0 {
 			continue
 		}
@@ -405,7 +405,7 @@
 		for _, r := range e.stop {
 			r.stop = true
 			stopped = append(stopped, r.j)
-			o.stopping[r.j.Rec.Team] = o.stopping[r.j.Rec.Team].Add(r.j.need(), 1)
+			o.stopping[r.j.Record.Team] = o.stopping[r.j.Record.Team].Add(r.j.need(), 1)
 			o.hurry(r.m)
 			e.s.soon = e.s.soon.Add(r.j.need(), 1)
 		}
@@ -432,25 +432,25 @@
 // mayStop tells whether the attempt may be stopped for the sake of the job.
 // owed says that the job's team is within its guarantee.
 func (o *Owner) mayStop(j *Job, r *run, owed bool) bool {
-	if r.j.Rec.Shape == wire.Group || o.loop.Now.Before(r.j.spared) {
+	if r.j.Record.Shape == wire.Group || o.loop.Now.Before(r.j.spared) {
 		return false
 	}
 	// Urgent work among itself is left alone, but a service that may not use
 	// spot machines has nowhere else to go than where urgent tasks sit that do.
-	if j.Rec.Rank() <= 1 && (r.j.Rec.Rank() > 1 || (r.j.Rec.Rank() > j.Rec.Rank() && !j.Rec.Spot && r.j.Rec.Spot)) {
+	if j.Record.Rank() <= 1 && (r.j.Record.Rank() > 1 || (r.j.Record.Rank() > j.Record.Rank() && !j.Record.Spot && r.j.Record.Spot)) {
 		return true
 	}
 	// Only what comes after the job in the order is stopped for it: else the
 	// stopped task would be the first to take the room again, for ever.
-	if !owed || r.j.Rec.Team == j.Rec.Team || r.j.Rec.Rank() < j.Rec.Rank() {
+	if !owed || r.j.Record.Team == j.Record.Team || r.j.Record.Rank() < j.Record.Rank() {
 		return false
 	}
 	// The other team keeps its own guarantee without the task, all that is
 	// being stopped already taken off: else both teams would stop each
 	// other's tasks in turn.
-	g := o.view.GuaranteeOf(r.j.Rec.Team)
-	left := o.usedByAll(r.j.Rec.Team).Add(o.stopping[r.j.Rec.Team], -1).Add(r.j.need(), -1)
-	return !g.Any() || (left.CPUs >= g.CPUs && left.Cards >= g.Cards)
+	g := o.view.GuaranteeOf(r.j.Record.Team)
+	left := o.usedByAll(r.j.Record.Team).Add(o.stopping[r.j.Record.Team], -1).Add(r.j.need(), -1)
+	return !g.Any() || (left.CPUs >= g.CPUs && left.GPUs >= g.GPUs)
 }
 
 // sparedFor is how long a job's tasks are left alone after one of them was
@@ -460,9 +460,9 @@
 
 // placeOne places the job's next task, if its team's limit and some machine
 // have room for it.
-func (o *Owner) placeOne(j *Job, spots []*spot, hidden sched.Amount) *run {
+func (o *Owner) placeOne(j *Job, spots []*spot, hidden sched.Resources) *run {
 	need := j.need()
-	if !j.mayTry() || !o.ceilingOf(j.Rec.Team).Allows(o.used[j.Rec.Team].Add(hidden, 1), need) {
+	if !j.mayTry() || !o.ceilingOf(j.Record.Team).Allows(o.used[j.Record.Team].Add(hidden, 1), need) {
 		return nil
 	}
 	var best *spot
@@ -488,7 +488,7 @@
 // only hold room while it waits for the rest. All carry the same attempt, by
 // which the workers know who belongs together; so when one is missing the
 // others are stopped and the gang starts again as a whole.
-func (o *Owner) placeGang(j *Job, spots []*spot, hidden sched.Amount) {
+func (o *Owner) placeGang(j *Job, spots []*spot, hidden sched.Resources) {
 	if len(j.runs) > 0 {
 		for _, r := range j.runs {
 			r.stop = true
@@ -526,7 +526,7 @@
 // machine as a multiple of the cheapest there is.
 func (o *Owner) dearness() func(m *machine) float64 {
 	cheapest := 0.0
-	for _, t := range o.view.Types {
+	for _, t := range o.view.MachineTypes {
 		for _, p := range []float64{t.Price, t.SpotPrice} {
 			if p > 0 && (cheapest == 0 || p/t.CPUs < cheapest) {
 				cheapest = p / t.CPUs
@@ -534,7 +534,7 @@
 		}
 	}
 	return func(m *machine) float64 {
-		t := o.view.Types[m.kind]
+		t := o.view.MachineTypes[m.kind]
 		price := t.Price
 		if m.spot {
 			price = t.SpotPrice
@@ -548,7 +548,7 @@
 
 // mayUse tells whether the job may use such a machine at all.
 func (j *Job) mayUse(m *machine) bool {
-	rec := &j.Rec
+	rec := &j.Record
 	return (rec.Spot || !m.spot) && (rec.Zone == "" || rec.Zone == m.zone) &&
 		(len(rec.Types) == 0 || slices.Contains(rec.Types, m.kind))
 }
@@ -556,7 +556,7 @@
 // allowed tells whether the job's constraints let its next task start there,
 // given its other tasks at this moment.
 func (o *Owner) allowed(j *Job, m *machine) bool {
-	rec := &j.Rec
+	rec := &j.Record
 	if !j.mayUse(m) || len(m.runs) >= runsMost {
 		return false
 	}
@@ -584,17 +584,17 @@
 // fetchSeconds estimates how long the job's image takes to get there. Images
 // that no task has run from yet are taken to be on their way.
 func (m *machine) fetchSeconds(j *Job, rate float64) float64 {
-	if rate <= 0 || j.Rec.ImageGB <= 0 {
+	if rate <= 0 || j.Record.ImageGB <= 0 {
 		return 0
 	}
-	s := j.Rec.ImageGB / rate
+	s := j.Record.ImageGB / rate
 	coming := 0
 	for i := range m.images {
 		img := &m.images[i]
 		switch {
-		case img.name == j.Rec.Image && img.there:
+		case img.name == j.Record.Image && img.there:
 			return 0
-		case img.name == j.Rec.Image:
+		case img.name == j.Record.Image:
 			return s / 2
 		case !img.there:
 			coming++
@@ -630,18 +630,18 @@
 	i := j.queue[0]
 	j.queue = j.queue[1:]
 	j.waitSince = o.loop.Now
-	o.class(j.Rec.Class).startedAt = o.loop.Now
-	o.startedAt[j.Rec.Team] = o.loop.Now
+	o.class(j.Record.Class).startedAt = o.loop.Now
+	o.startedAt[j.Record.Team] = o.loop.Now
 	if !j.begun {
 		j.begun = true
-		o.Tally.Begun(&j.Rec.Job, j.age(o.loop.Now))
+		o.Served.Started(&j.Record.Job, j.age(o.loop.Now))
 	}
-	r := &run{j: j, i: i, task: taskName(j.Rec.ID, i), attempt: o.hold.Attempt(), m: m,
+	r := &run{j: j, i: i, task: taskName(j.Record.ID, i), attempt: o.hold.Attempt(), m: m,
 		state: runQueued, placed: o.loop.Now}
 	m.runs[runKey{r.task, r.attempt}] = r
 	j.runs[i] = r
 	o.count(r, 1)
-	m.keep(j.Rec.Image, j.Rec.ImageGB, o.view.Types[m.kind].CacheGB, false)
+	m.keep(j.Record.Image, j.Record.ImageGB, o.view.MachineTypes[m.kind].CacheGB, false)
 	m.idle = time.Time{}
 	o.hurry(m)
 	o.log.Debug("placed", "task", r.task, "attempt", r.attempt, "machine", m.name)
--- a/internal/core/owner/remember.go
+++ b/internal/core/owner/remember.go
@@ -4,7 +4,7 @@
 	"encoding/base64"
 	"maps"
 
-	"fawncove/internal/core/gate"
+	"fawncove/internal/core/feature"
 	"fawncove/internal/wire"
 )
 
@@ -19,11 +19,11 @@
 func (o *Owner) Records() map[string]any {
 	out := make(map[string]any, len(o.jobs))
 	for id, j := range o.jobs {
-		if j.Over {
+		if j.Ended {
 			continue
 		}
-		rec, err := wire.WithFields(j.Rec, j.Rec.Unknown)
-		if err == nil && o.view.Open(gate.Envelope) {
+		rec, err := wire.WithFields(j.Record, j.Record.Unknown)
+		if err == nil && o.view.FeatureOpen(feature.Envelope) {
 			rec, err = wire.Wrap(rec, o.view.Lease.Generation, 1)
 		}
 		if err != nil {
@@ -36,15 +36,15 @@
 }
 
 // Facts are the completed tasks of jobs that are not over, by entry of a page.
-func (o *Owner) Facts() map[string][]byte {
+func (o *Owner) CompletedTasks() map[string][]byte {
 	out := maps.Clone(o.facts)
 	for id, j := range o.jobs {
-		if j.Over || j.done == nil {
+		if j.Ended || j.done == nil {
 			continue
 		}
-		for i := 0; i < j.Rec.Tasks; i += chunk {
+		for i := 0; i < j.Record.Tasks; i += chunk {
 			key := entryKey(id, i)
-			if raw := Merge(out[key], j.bits(i/chunk)); len(raw) > 0 {
+			if raw := MergeCompleted(out[key], j.bits(i/chunk)); len(raw) > 0 {
 				out[key] = raw
 			}
 		}
@@ -53,7 +53,7 @@
 }
 
 // PageFacts takes a page's entries apart.
-func (o *Owner) PageFacts(key string, value []byte) (map[string][]byte, error) {
+func (o *Owner) ParsePage(key string, value []byte) (map[string][]byte, error) {
 	_, entries, err := o.openPage(key, value)
 	if err != nil {
 		return nil, err
@@ -74,4 +74,4 @@
 }
 
 // PageBytes is about how much a page should hold.
-func (o *Owner) PageBytes() int { return int(pageFill * 1024 * o.view.Cfg.Cluster.State.ValueKB) }
+func (o *Owner) PageBytes() int { return int(pageFill * 1024 * o.view.Settings.Cluster.State.ValueKB) }
--- a/internal/core/owner/rewrite.go
+++ b/internal/core/owner/rewrite.go
@@ -4,8 +4,8 @@
 	"slices"
 	"time"
 
-	"fawncove/internal/core/gate"
-	"fawncove/internal/core/step"
+	"fawncove/internal/core/eventloop"
+	"fawncove/internal/core/feature"
 	"fawncove/internal/wire"
 )
 
@@ -42,21 +42,21 @@
 }
 
 // Left is how many records of this controller's homes are in an earlier form.
-func (o *Owner) Left() int { return len(o.rewriting.queue) }
+func (o *Owner) OutdatedRecords() int { return len(o.rewriting.queue) }
 
 // plain tells whether a job's record is one to rewrite.
 func (o *Owner) plain(j *Job) bool {
-	return j != nil && j.form < wire.EnvelopeForm && !j.Over && o.Owns(j) && !o.rewriting.whole[j.Rec.ID]
+	return j != nil && j.form < wire.EnvelopeForm && !j.Ended && o.Owns(j) && !o.rewriting.whole[j.Record.ID]
 }
 
 // rewrite rewrites a few records, if users leave room for that.
 func (o *Owner) rewrite() {
 	r := &o.rewriting
-	if !o.view.Open(gate.Envelope) || !o.hold.MayStart(o.loop.Now) {
+	if !o.view.FeatureOpen(feature.Envelope) || !o.hold.MayStart(o.loop.Now) {
 		return
 	}
-	limits := o.view.Cfg.Cluster.State
-	rate := rewritePart * limits.WriteRPS / float64(o.view.Cfg.Controllers())
+	limits := o.view.Settings.Cluster.State
+	rate := rewritePart * limits.WriteRPS / float64(o.view.Settings.Controllers())
 	// A transaction takes what a second allows, no more: one of twenty changes
 	// waited two seconds for its turn in the write limit, in the way of every
 	// submission behind it, and was then given up.
@@ -80,7 +80,7 @@
 	if r.busy || len(r.queue) == 0 {
 		return
 	}
-	pending, short := o.records.Users()
+	pending, short := o.records.UserWrites()
 	if pending > 0 || (!short.IsZero() && o.loop.Now.Sub(short) < rewriteRest) {
 		return
 	}
@@ -96,20 +96,20 @@
 	bytes := 0
 	for len(r.queue) > 0 && len(batch) < n {
 		j := o.jobs[r.queue[0]]
-		if !o.plain(j) || j.Writing {
+		if !o.plain(j) || j.EndInFlight {
 			r.queue = r.queue[1:]
 			continue
 		}
 		value, size, err := o.wrapped(j)
 		if err != nil {
-			o.log.Error("record to rewrite", "job", j.Rec.ID, "err", err)
-			r.skip(j.Rec.ID)
+			o.log.Error("record to rewrite", "job", j.Record.ID, "err", err)
+			r.skip(j.Record.ID)
 			continue
 		}
 		if bytes += size; bytes > rewriteBytes && len(batch) > 0 {
 			break
 		}
-		key := o.records.Key(j.Rec.ID)
+		key := o.records.JobKey(j.Record.ID)
 		txn.If = append(txn.If, wire.Condition{Key: key, Version: j.Version})
 		txn.Then = append(txn.Then, wire.Op{Put: key, Value: value})
 		batch = append(batch, j)
@@ -120,7 +120,7 @@
 	}
 	r.busy = true
 	r.room -= float64(len(batch))
-	o.loop.Emit(step.StateTxn{Txn: txn, ID: o.loop.Call(func(d step.Completed) {
+	o.loop.Emit(eventloop.StateTxn{Txn: txn, ID: o.loop.Call(func(d eventloop.Completion) {
 		r.busy = false
 		switch {
 		case d.Status == 200:
@@ -131,8 +131,8 @@
 				}
 			}
 		case d.Status == 400 && len(batch) == 1:
-			r.skip(batch[0].Rec.ID)
-			o.log.Info("record stays in its earlier form, its envelope does not fit", "job", batch[0].Rec.ID)
+			r.skip(batch[0].Record.ID)
+			o.log.Info("record stays in its earlier form, its envelope does not fit", "job", batch[0].Record.ID)
 		case d.Status == 400:
 			r.single = len(batch) // to find which
 		}
@@ -152,7 +152,7 @@
 
 // wrapped returns a job's record in its envelope, and about how large it is.
 func (o *Owner) wrapped(j *Job) (value any, size int, err error) {
-	rec, err := wire.WithFields(j.Rec, j.Rec.Unknown)
+	rec, err := wire.WithFields(j.Record, j.Record.Unknown)
 	if err != nil {
 		return nil, 0, err
 	}
@@ -162,7 +162,7 @@
 
 // rewritePages has pages of an earlier form stored again, once.
 func (o *Owner) rewritePages() {
-	if !o.view.Open(gate.Envelope) {
+	if !o.view.FeatureOpen(feature.Envelope) {
 		return
 	}
 	for _, p := range o.pages {
@@ -174,7 +174,7 @@
 
 // pageValue is what is stored for a page with these entries.
 func (o *Owner) pageValue(p *page, entries map[string]string) (any, int) {
-	if !o.view.Open(gate.Envelope) {
+	if !o.view.FeatureOpen(feature.Envelope) {
 		return entries, 0
 	}
 	env, err := wire.Wrap(entries, o.view.Lease.Generation, 0)
--- a/internal/core/owner/rewrite_test.go
+++ b/internal/core/owner/rewrite_test.go
@@ -7,8 +7,8 @@
 	"time"
 
 	"fawncove/internal/config"
+	"fawncove/internal/core/eventloop"
 	"fawncove/internal/core/leasevalue"
-	"fawncove/internal/core/step"
 	"fawncove/internal/wire"
 )
 
@@ -18,29 +18,29 @@
 	rec := wire.LeaseRecord{Form: leasevalue.Form, Level: 2, Confirmed: 2, Generation: 3, Term: 1, Leader: "n1", Partitions: map[string]string{"red": "n0"},
 		Blocks: map[string]wire.Block{"n0": {Grant: 1 << 18, Incarnation: 7}}}
 	o, now := newOwner(t, []config.Team{{Name: "red"}}, rec)
-	o.hold.Sent(now)
-	o.hold.Granted(wire.Block{Grant: 1 << 18, Renewal: 1})
+	o.hold.RecordRenewal(now)
+	o.hold.Renewed(wire.Block{Grant: 1 << 18, Renewal: 1})
 	for i := range 5 {
 		rec := wire.JobRecord{Job: wire.Job{ID: fmt.Sprintf("wk-%06d", i), Team: "red", Shape: wire.Array, Priority: "standard", Tasks: 1, CPUs: 1},
 			Unknown: wire.Fields{"later": []byte{0x01}}}
-		o.Put(rec, Stamp{Version: uint64(100 + i)})
+		o.ApplyJob(rec, RecordInfo{Version: uint64(100 + i)})
 	}
 	return o, now
 }
 
 // rewrites lets time pass until a transaction of rewrites goes out.
-func rewrites(o *Owner, now time.Time) (step.StateTxn, time.Time) {
+func rewrites(o *Owner, now time.Time) (eventloop.StateTxn, time.Time) {
 	for range 100 {
 		now = now.Add(150 * time.Millisecond)
 		o.loop.Begin(now)
 		o.rewrite()
 		for _, e := range o.loop.Effects() {
-			if x, ok := e.(step.StateTxn); ok {
+			if x, ok := e.(eventloop.StateTxn); ok {
 				return x, now
 			}
 		}
 	}
-	return step.StateTxn{}, now
+	return eventloop.StateTxn{}, now
 }
 
 // TestRewritesAreConditional: each record is rewritten under the version that it
@@ -62,8 +62,8 @@
 			t.Errorf("%s: kept %v, %v", op.Put, kept, err)
 		}
 	}
-	o.loop.Complete(step.Completed{ID: x.ID, Status: 200, Txn: wire.TxnAnswer{Revision: 200}})
-	if again, _ := rewrites(o, now.Add(20*time.Second)); len(again.Txn.Then) > 0 || o.Left() > 0 {
+	o.loop.Complete(eventloop.Completion{ID: x.ID, Status: 200, Txn: wire.TxnAnswer{Revision: 200}})
+	if again, _ := rewrites(o, now.Add(20*time.Second)); len(again.Txn.Then) > 0 || o.OutdatedRecords() > 0 {
 		t.Errorf("rewritten again: %v", again.Txn.Then)
 	}
 	// A later process finds the record rewritten after it took the home over:
@@ -71,7 +71,7 @@
 	b, _ := newOwner(t, []config.Team{{Name: "red"}}, wire.LeaseRecord{Term: 1, Leader: "n1", Partitions: map[string]string{"red": "n0"},
 		Blocks: map[string]wire.Block{"n0": {Grant: 1 << 18, Incarnation: 7}}})
 	b.homes["red"] = 150
-	b.Put(wire.JobRecord{Job: wire.Job{ID: "wk-000001", Team: "red", Shape: wire.Array, Tasks: 1, CPUs: 1}}, Stamp{Version: 200, Born: 101, Form: 1})
+	b.ApplyJob(wire.JobRecord{Job: wire.Job{ID: "wk-000001", Team: "red", Shape: wire.Array, Tasks: 1, CPUs: 1}}, RecordInfo{Version: 200, FirstVersion: 101, Form: 1})
 	if j := b.Job("wk-000001"); j.ready {
 		t.Error("a job that may run is taken for a new one")
 	}
@@ -97,10 +97,10 @@
 			done[op.Put] = done[op.Put] || status == 200
 		}
 		revision++
-		o.loop.Complete(step.Completed{ID: x.ID, Status: status, Txn: wire.TxnAnswer{Revision: revision}})
+		o.loop.Complete(eventloop.Completion{ID: x.ID, Status: status, Txn: wire.TxnAnswer{Revision: revision}})
 	}
-	if len(done) != 5 || done[big] || o.Left() != 0 {
-		t.Errorf("rewritten %v, %d left", done, o.Left())
+	if len(done) != 5 || done[big] || o.OutdatedRecords() != 0 {
+		t.Errorf("rewritten %v, %d left", done, o.OutdatedRecords())
 	}
 	for key, ok := range done {
 		if !ok && key != big {
@@ -127,7 +127,7 @@
 	o.loop.Begin(now.Add(time.Minute))
 	o.flushPages()
 	for _, e := range o.loop.Effects() {
-		if x, ok := e.(step.StateTxn); ok && x.Txn.Then[0].Put != "fp/n0/1" {
+		if x, ok := e.(eventloop.StateTxn); ok && x.Txn.Then[0].Put != "fp/n0/1" {
 			t.Errorf("writes %s", x.Txn.Then[0].Put)
 		}
 	}
@@ -163,16 +163,16 @@
 		j.reading, j.ready = false, true
 		o.markDone(j, 0)
 		o.noteDone(j, 0)
-		var txn step.StateTxn
-		var get step.StateGet
+		var txn eventloop.StateTxn
+		var get eventloop.StateGet
 		effects := func(at time.Time, f func()) (writes int) {
 			o.loop.Begin(at)
 			f()
 			for _, e := range o.loop.Effects() {
 				switch e := e.(type) {
-				case step.StateTxn:
+				case eventloop.StateTxn:
 					txn, writes = e, writes+1
-				case step.StateGet:
+				case eventloop.StateGet:
 					get = e
 				}
 			}
@@ -182,11 +182,11 @@
 		if n := effects(now, o.flushPages); n != 1 {
 			t.Fatalf("%d writes", n)
 		}
-		effects(now, func() { o.loop.Complete(step.Completed{ID: txn.ID}) })
+		effects(now, func() { o.loop.Complete(eventloop.Completion{ID: txn.ID}) })
 		if get.Key != txn.Txn.Then[0].Put {
 			t.Fatalf("reads %q after a lost answer to %q", get.Key, txn.Txn.Then[0].Put)
 		}
-		d := step.Completed{ID: get.ID, Status: 404}
+		d := eventloop.Completion{ID: get.ID, Status: 404}
 		if carriedOut {
 			raw, err := wire.Encode(txn.Txn.Then[0].Value)
 			if err != nil {
--- a/internal/core/owner/tell.go
+++ b/internal/core/owner/tell.go
@@ -8,7 +8,7 @@
 
 	"fawncove/internal/core/cluster"
 	"fawncove/internal/core/sched"
-	"fawncove/internal/core/served"
+	"fawncove/internal/core/servicereport"
 	"fawncove/internal/peerpb"
 	"fawncove/internal/wire"
 )
@@ -24,7 +24,7 @@
 )
 
 // Describe tells the leader, in a renewal, of machines, waiting work and use.
-func (o *Owner) Describe(r *peerpb.Renewal) {
+func (o *Owner) FillRenewal(r *peerpb.Renewal) {
 	r.Waiting = map[string]int32{}
 	var gave, lost, heard, unknown, bound []string
 	for _, name := range cluster.SortedKeys(o.machines) {
@@ -57,7 +57,7 @@
 		if !o.counts(g) {
 			continue
 		}
-		if o.view.OwnerOf(name) == "" {
+		if o.view.HolderOf(name) == "" {
 			r.KnownMachines = append(r.KnownMachines, &peerpb.MachineInfo{Name: name, Endpoint: g.rep.Endpoint,
 				Type: g.rep.Type, Zone: g.rep.Zone, Spot: g.rep.Spot, AgentEpoch: g.rep.AgentEpoch})
 		} else {
@@ -67,20 +67,20 @@
 	r.Released, r.SilentMachines, r.Reconciled = wire.PackNames(gave), wire.PackNames(lost), wire.PackNames(heard)
 	r.UnknownEndpoints, r.OnDemandOnly = wire.PackNames(unknown), wire.PackNames(bound)
 	for _, j := range o.jobs {
-		if !o.Owns(j) || j.Over || len(j.queue) == 0 {
+		if !o.Owns(j) || j.Ended || len(j.queue) == 0 {
 			continue
 		}
-		for kind, t := range o.view.Types {
-			if len(j.Rec.Types) == 0 || slices.Contains(j.Rec.Types, kind) {
-				if j.need().Fits(cluster.SizeOf(t)) {
+		for kind, t := range o.view.MachineTypes {
+			if len(j.Record.Types) == 0 || slices.Contains(j.Record.Types, kind) {
+				if j.need().Fits(cluster.MachineSize(t)) {
 					r.Waiting[kind] += int32(j.tries())
 				}
 			}
 		}
 	}
 	r.Demand = o.demand()
-	r.Teams = o.TeamUses()
-	r.BusyCpus, r.BusySpotCpus, _ = o.Measure()
+	r.Teams = o.PublishedTeamUse()
+	r.BusyCpus, r.BusySpotCpus, _ = o.ProcessorUse()
 }
 
 // demandMost bounds the groups of waiting tasks that a renewal carries.
@@ -96,31 +96,31 @@
 		}
 		// Where others of its class are started it only waits for its turn:
 		// machines rented for all of it would come when the backlog is gone.
-		long := o.loop.Now.Sub(j.waitSince) > starved && o.loop.Now.Sub(o.class(j.Rec.Class).startedAt) > stuck ||
+		long := o.loop.Now.Sub(j.waitSince) > starved && o.loop.Now.Sub(o.class(j.Record.Class).startedAt) > stuck ||
 			o.overdue(j)
-		list = append(list, sched.Demand{Rank: j.Rec.Rank(), Need: o.coarse(j), Types: j.Rec.Types,
-			Zone: j.Rec.Zone, Spot: j.Rec.Spot, Count: n, RunS: o.runSeconds(&j.Rec),
-			ProvisionAll: j.Rec.Shape != wire.Array || long, Starved: long,
+		list = append(list, sched.Demand{Rank: j.Record.Rank(), Need: o.coarse(j), Types: j.Record.Types,
+			Zone: j.Record.Zone, Spot: j.Record.Spot, Count: n, RunS: o.runSeconds(&j.Record),
+			ProvisionAll: j.Record.Shape != wire.Array || long, Overdue: long,
 			SlackS: float64(o.dueStart(j)-o.loop.Now.UnixMilli()) / 1000})
 	}
 	var out []*peerpb.Demand
-	for _, d := range sched.Merge(list) {
+	for _, d := range sched.MergeDemands(list) {
 		if len(out) == demandMost {
 			break
 		}
-		out = append(out, &peerpb.Demand{Rank: int32(d.Rank), Cpus: d.Need.CPUs, Gpus: d.Need.Cards,
+		out = append(out, &peerpb.Demand{Rank: int32(d.Rank), Cpus: d.Need.CPUs, Gpus: d.Need.GPUs,
 			MemoryGb: d.Need.MemoryGB, Types: d.Types, Zone: d.Zone, Spot: d.Spot,
-			Count: int32(d.Count), RunS: d.RunS, ProvisionAll: d.ProvisionAll, Starved: d.Starved, SlackS: d.SlackS})
+			Count: int32(d.Count), RunS: d.RunS, ProvisionAll: d.ProvisionAll, Starved: d.Overdue, SlackS: d.SlackS})
 	}
 	return out
 }
 
 // coarse is what a task of the job needs, rounded up unless that would keep
 // it from every machine it may use.
-func (o *Owner) coarse(j *Job) sched.Amount {
-	rough := sched.Coarse(j.need())
-	for kind, t := range o.view.Types {
-		if (len(j.Rec.Types) == 0 || slices.Contains(j.Rec.Types, kind)) && j.need().Fits(cluster.SizeOf(t)) && !rough.Fits(cluster.SizeOf(t)) {
+func (o *Owner) coarse(j *Job) sched.Resources {
+	rough := sched.RoundUp(j.need())
+	for kind, t := range o.view.MachineTypes {
+		if (len(j.Record.Types) == 0 || slices.Contains(j.Record.Types, kind)) && j.need().Fits(cluster.MachineSize(t)) && !rough.Fits(cluster.MachineSize(t)) {
 			return j.need()
 		}
 	}
@@ -131,8 +131,8 @@
 const imagesMost = 64
 
 // Room sums up what is free on this controller's machines.
-func (o *Owner) Room() cluster.Room {
-	r := cluster.Room{Images: map[string]float64{}}
+func (o *Owner) Capacity() cluster.Capacity {
+	r := cluster.Capacity{Images: map[string]float64{}}
 	for _, m := range o.machines {
 		if !o.usable(m) {
 			continue
@@ -157,7 +157,7 @@
 
 // Measure returns the processors that this controller's tasks use or wait
 // for, the part of them that may be on spot machines, and those of its block.
-func (o *Owner) Measure() (busy, spot, size float64) {
+func (o *Owner) ProcessorUse() (busy, spot, size float64) {
 	for _, m := range o.machines {
 		if m.lost || m.bad || m.gave {
 			continue
@@ -165,10 +165,10 @@
 		size += m.size.CPUs
 	}
 	for _, j := range o.jobs {
-		if o.Owns(j) && !j.Over {
-			n := float64(len(j.runs)+j.tries()) * j.Rec.CPUs
+		if o.Owns(j) && !j.Ended {
+			n := float64(len(j.runs)+j.tries()) * j.Record.CPUs
 			busy += n
-			if j.Rec.Spot {
+			if j.Record.Spot {
 				spot += n
 			}
 		}
@@ -177,7 +177,7 @@
 }
 
 // Block calls f for each machine of the block.
-func (o *Owner) Block(f func(name string, idle time.Duration, bad, lost bool)) {
+func (o *Owner) EachMachine(f func(name string, idle time.Duration, bad, lost bool)) {
 	for _, m := range o.machineOrder() {
 		idle := time.Duration(0)
 		if !m.idle.IsZero() && m.session != 0 {
@@ -188,7 +188,7 @@
 }
 
 // Guests are the machines of others, or of nobody, that reported lately.
-func (o *Owner) Guests() []string {
+func (o *Owner) ForeignWorkers() []string {
 	var out []string
 	for n, g := range o.guests {
 		if o.counts(g) {
@@ -199,18 +199,18 @@
 }
 
 // LogServed logs, once a minute, what became of jobs.
-func (o *Owner) LogServed() {
-	o.Tally.Log(o.loop.Now, o.log, func() map[served.Group]served.Waiting {
-		out := map[served.Group]served.Waiting{}
+func (o *Owner) LogServiceReport() {
+	o.Served.Log(o.loop.Now, o.log, func() map[servicereport.Group]servicereport.Waiting {
+		out := map[servicereport.Group]servicereport.Waiting{}
 		for _, j := range o.jobs {
-			if !o.Owns(j) || j.Over || len(j.queue) == 0 {
+			if !o.Owns(j) || j.Ended || len(j.queue) == 0 {
 				continue
 			}
-			for _, g := range []served.Group{{Kind: served.Team, Name: j.Rec.Team}, {Kind: served.Class, Name: j.Rec.Class}} {
+			for _, g := range []servicereport.Group{{Kind: servicereport.Team, Name: j.Record.Team}, {Kind: servicereport.Class, Name: j.Record.Class}} {
 				w := out[g]
 				w.Jobs++
 				if !j.begun {
-					w.Oldest = max(w.Oldest, j.age(o.loop.Now))
+					w.LongestWait = max(w.LongestWait, j.age(o.loop.Now))
 				}
 				out[g] = w
 			}
@@ -220,10 +220,10 @@
 }
 
 // Inflow is the work that has come in lately, in processors.
-func (o *Owner) Inflow() float64 { return o.inflow.Rate(o.loop.Now) }
+func (o *Owner) ArrivalRate() float64 { return o.inflow.Rate(o.loop.Now) }
 
 // Introduce learns how to reach machines that have not reported yet.
-func (o *Owner) Introduce(seen func(name string) *peerpb.MachineInfo) {
+func (o *Owner) UpdateMachineInfo(seen func(name string) *peerpb.MachineInfo) {
 	for name, m := range o.machines {
 		if m.endpoint != "" {
 			continue
@@ -239,12 +239,12 @@
 const newsMost = 4000
 
 // News lists the counts of jobs that have changed since they were last told.
-func (o *Owner) News() []*peerpb.JobProgress {
+func (o *Owner) ChangedCounts() []*peerpb.JobProgress {
 	var out []*peerpb.JobProgress
 	for _, j := range o.jobs {
 		done, running := j.Counts()
 		if o.Owns(j) && j.shown != [2]int{done, running} {
-			out = append(out, &peerpb.JobProgress{Id: j.Rec.ID, Done: int32(done), Running: int32(running)})
+			out = append(out, &peerpb.JobProgress{Id: j.Record.ID, Done: int32(done), Running: int32(running)})
 		}
 	}
 	slices.SortFunc(out, func(a, b *peerpb.JobProgress) int { return strings.Compare(a.GetId(), b.GetId()) })
@@ -257,7 +257,7 @@
 
 // TellAnew has the next News list the counts of all jobs that have begun, not only of
 // those that change: another controller has missed what was told before.
-func (o *Owner) TellAnew() {
+func (o *Owner) ResendCounts() {
 	for _, j := range o.jobs {
 		if j.begun || j.shown != [2]int{} {
 			j.shown = untold
@@ -266,7 +266,7 @@
 }
 
 // Meet learns from others how to reach machines of the block.
-func (o *Owner) Meet(known []*peerpb.MachineInfo) {
+func (o *Owner) LearnMachines(known []*peerpb.MachineInfo) {
 	for _, k := range known {
 		if m := o.machines[k.GetName()]; m != nil {
 			o.introduce(m, k)
--- a/internal/core/owner/uses.go
+++ b/internal/core/owner/uses.go
@@ -5,14 +5,14 @@
 	"time"
 
 	"fawncove/internal/core/cluster"
+	"fawncove/internal/core/quota"
 	"fawncove/internal/core/sched"
-	"fawncove/internal/core/share"
 	"fawncove/internal/peerpb"
 	"fawncove/internal/wire"
 )
 
 // The limit of a team whose jobs are parted over several controllers is held
-// in shares, see package share: here is what the holder does for that. A
+// in shares, see package quota: here is what the holder does for that. A
 // guarantee needs no shares, as nobody may be stopped wrongly by it: it is
 // judged by what all controllers tell of their use each second.
 
@@ -27,23 +27,23 @@
 	if !parted || !l.Any() {
 		return l
 	}
-	s := o.hold.Ceiling(team, shares[o.view.Me])
+	s := o.hold.UsableShare(team, shares[o.view.Self])
 	if l.CPUs > 0 {
 		l.CPUs = max(nothing, float64(s.CPUs))
 	}
-	if l.Cards > 0 {
-		l.Cards = max(nothing, float64(s.GPUs))
+	if l.GPUs > 0 {
+		l.GPUs = max(nothing, float64(s.GPUs))
 	}
 	return l
 }
 
 // usedByAll is what a team's tasks use on all controllers, as far as known.
-func (o *Owner) usedByAll(team string) sched.Amount {
+func (o *Owner) usedByAll(team string) sched.Resources {
 	a := o.used[team]
 	for _, p := range o.view.Peers {
-		if u := p.Teams[team]; u != nil && o.loop.Now.Sub(p.Heard) < cluster.UseFresh {
+		if u := p.TeamUse[team]; u != nil && o.loop.Now.Sub(p.LastFrame) < cluster.UsageMaxAge {
 			a.CPUs += u.GetCpus()
-			a.Cards += u.GetGpus()
+			a.GPUs += u.GetGpus()
 		}
 	}
 	return a
@@ -51,8 +51,8 @@
 
 // hidden is the room that tasks may take up which this controller does not
 // know: it counts against every limit.
-func (o *Owner) hidden() sched.Amount {
-	var a sched.Amount
+func (o *Owner) hidden() sched.Resources {
+	var a sched.Resources
 	for _, m := range o.machines {
 		if m.unsure() {
 			a = a.Add(o.sizeAtMost(m), 1)
@@ -63,42 +63,42 @@
 
 // sizeAtMost is a machine's size, or that of the largest as long as its kind
 // is not known.
-func (o *Owner) sizeAtMost(m *machine) sched.Amount {
+func (o *Owner) sizeAtMost(m *machine) sched.Resources {
 	if m.size.CPUs > 0 {
 		return m.size
 	}
 	size := m.size
-	for _, t := range o.view.Types {
-		size = sched.Amount{CPUs: max(size.CPUs, t.CPUs), Cards: max(size.Cards, t.GPUs)}
+	for _, t := range o.view.MachineTypes {
+		size = sched.Resources{CPUs: max(size.CPUs, t.CPUs), GPUs: max(size.GPUs, t.GPUs)}
 	}
 	return size
 }
 
 // Uses sums up what this controller's tasks use and want, for each team
 // with a limit or a guarantee.
-func (o *Owner) Uses() map[string]*peerpb.TeamUse {
+func (o *Owner) TeamUse() map[string]*peerpb.TeamUse {
 	out := map[string]*peerpb.TeamUse{}
-	for _, t := range o.view.Cfg.Cluster.Teams {
+	for _, t := range o.view.Settings.Cluster.Teams {
 		if !cluster.Unlimited(t) {
 			u := o.used[t.Name]
-			out[t.Name] = &peerpb.TeamUse{Team: t.Name, Cpus: u.CPUs, Gpus: u.Cards, WantCpus: u.CPUs, WantGpus: u.Cards}
+			out[t.Name] = &peerpb.TeamUse{Team: t.Name, Cpus: u.CPUs, Gpus: u.GPUs, WantCpus: u.CPUs, WantGpus: u.GPUs}
 		}
 	}
 	for _, j := range o.jobs {
-		u := out[j.Rec.Team]
-		if u == nil || j.Over || !j.ready || len(j.queue) == 0 || !o.Owns(j) {
+		u := out[j.Record.Team]
+		if u == nil || j.Ended || !j.ready || len(j.queue) == 0 || !o.Owns(j) {
 			continue
 		}
 		n := float64(len(j.queue))
-		u.WantCpus += n * j.Rec.CPUs
-		u.WantGpus += n * j.Rec.GPUs
+		u.WantCpus += n * j.Record.CPUs
+		u.WantGpus += n * j.Record.GPUs
 		// A share has to have room for the largest task, and for all of a
 		// gang beside what runs.
 		must := j.need()
-		if j.Rec.Shape == wire.Group {
-			must = o.used[j.Rec.Team].Add(j.need(), n)
+		if j.Record.Shape == wire.Group {
+			must = o.used[j.Record.Team].Add(j.need(), n)
 		}
-		u.MinCpus, u.MinGpus = max(u.MinCpus, must.CPUs), max(u.MinGpus, must.Cards)
+		u.MinCpus, u.MinGpus = max(u.MinCpus, must.CPUs), max(u.MinGpus, must.GPUs)
 	}
 	return out
 }
@@ -111,27 +111,27 @@
 	if !o.hold.Held() || len(o.view.Lease.Shares) == 0 {
 		return out
 	}
-	own := o.Uses()
+	own := o.TeamUse()
 	hidden := o.hidden()
 	for _, team := range cluster.SortedKeys(o.view.Lease.Shares) {
 		shares := o.view.Lease.Shares[team]
 		limit, used := o.view.LimitOf(team), o.used[team].Add(hidden, 1)
-		cpus, cards := o.view.Needs(o.view.Lease.Partitions, shares, team, own, o.loop.Now)
-		now := o.hold.Ceiling(team, shares[o.view.Me])
-		least := wire.Share{CPUs: int(math.Ceil(used.CPUs)), GPUs: int(math.Ceil(used.Cards))}
+		cpus, cards := o.view.QuotaNeeds(o.view.Lease.Partitions, shares, team, own, o.loop.Now)
+		now := o.hold.UsableShare(team, shares[o.view.Self])
+		least := wire.Share{CPUs: int(math.Ceil(used.CPUs)), GPUs: int(math.Ceil(used.GPUs))}
 		next := now
 		if n, yes := o.spared(cpus, limit.CPUs, used.CPUs, now.CPUs, func(node string) int { return shares[node].CPUs }); yes {
 			next.CPUs = n
 		}
-		if n, yes := o.spared(cards, limit.Cards, used.Cards, now.GPUs, func(node string) int { return shares[node].GPUs }); yes {
+		if n, yes := o.spared(cards, limit.GPUs, used.GPUs, now.GPUs, func(node string) int { return shares[node].GPUs }); yes {
 			next.GPUs = n
 		}
 		if o.loop.Now.Sub(o.startedAt[team]) > gatherAfter {
 			next.CPUs = o.gathered(cpus, limit.CPUs, used.CPUs, next.CPUs, func(node string) int { return shares[node].CPUs })
-			next.GPUs = o.gathered(cards, limit.Cards, used.Cards, next.GPUs, func(node string) int { return shares[node].GPUs })
+			next.GPUs = o.gathered(cards, limit.GPUs, used.GPUs, next.GPUs, func(node string) int { return shares[node].GPUs })
 		}
-		next.CPUs, next.GPUs = max(next.CPUs, min(least.CPUs, shares[o.view.Me].CPUs)), max(next.GPUs, min(least.GPUs, shares[o.view.Me].GPUs))
-		if next.CPUs < shares[o.view.Me].CPUs || next.GPUs < shares[o.view.Me].GPUs {
+		next.CPUs, next.GPUs = max(next.CPUs, min(least.CPUs, shares[o.view.Self].CPUs)), max(next.GPUs, min(least.GPUs, shares[o.view.Self].GPUs))
+		if next.CPUs < shares[o.view.Self].CPUs || next.GPUs < shares[o.view.Self].GPUs {
 			out[team] = next
 		}
 	}
@@ -140,29 +140,29 @@
 
 // spared tells to what this controller can lower a ceiling for the sake of
 // others that are short.
-func (o *Owner) spared(needs map[string]share.Need, limit, used float64, now int, of func(node string) int) (int, bool) {
+func (o *Owner) spared(needs map[string]quota.Need, limit, used float64, now int, of func(node string) int) (int, bool) {
 	if limit <= 0 {
 		return 0, false
 	}
-	targets := share.Targets(math.Floor(limit), needs)
+	targets := quota.Targets(math.Floor(limit), needs)
 	sum := 0
 	for node := range needs {
 		sum += of(node)
 	}
 	if float64(sum) > limit {
-		return share.Lower(now, targets[o.view.Me], used, false) // the settings have changed
+		return quota.ReservationFor(now, targets[o.view.Self], used, false) // the settings have changed
 	}
 	short, stuck := false, false
 	for node, t := range targets {
-		if node != o.view.Me {
-			short = short || share.Short(float64(of(node)), t, needs[node])
-			stuck = stuck || share.Stuck(float64(of(node)), t, needs[node])
+		if node != o.view.Self {
+			short = short || quota.NeedsMore(float64(of(node)), t, needs[node])
+			stuck = stuck || quota.TooSmallToStart(float64(of(node)), t, needs[node])
 		}
 	}
 	if !short {
 		return 0, false
 	}
-	return share.Lower(now, targets[o.view.Me], used, stuck)
+	return quota.ReservationFor(now, targets[o.view.Self], used, stuck)
 }
 
 // gatherAfter is for how long nothing of a team may have been started here before what
@@ -171,7 +171,7 @@
 const gatherAfter = 10 * time.Second
 
 // gathered is a ceiling without what is left of it, where that is gathered for another.
-func (o *Owner) gathered(needs map[string]share.Need, limit, used float64, now int, of func(node string) int) int {
+func (o *Owner) gathered(needs map[string]quota.Need, limit, used float64, now int, of func(node string) int) int {
 	if limit <= 0 {
 		return now
 	}
@@ -179,36 +179,36 @@
 	for node := range needs {
 		shares[node] = of(node)
 	}
-	if node, _, ok := share.Gather(int(limit), shares, needs); ok && node != o.view.Me {
+	if node, _, ok := quota.ConcentrateOn(int(limit), shares, needs); ok && node != o.view.Self {
 		return min(now, int(math.Ceil(used)))
 	}
 	return now
 }
 
 // Trade asks for a renewal when there is something new to promise.
-func (o *Owner) Trade() {
+func (o *Owner) RequestQuotaRenewal() {
 	for team, s := range o.ceilings() {
-		if s != o.hold.Ceiling(team, o.view.Lease.Shares[team][o.view.Me]) {
-			o.hold.Hurry()
+		if s != o.hold.UsableShare(team, o.view.Lease.Shares[team][o.view.Self]) {
+			o.hold.RequestRenewal()
 		}
 	}
 	if len(o.yields()) > 0 {
-		o.hold.Hurry()
+		o.hold.RequestRenewal()
 	}
 }
 
 // Promise puts what this controller can do without into a renewal, and keeps
 // to it from now on, whether or not the leader ever reads that.
-func (o *Owner) Promise(r *peerpb.Renewal) {
+func (o *Owner) ReserveQuota(r *peerpb.Renewal) {
 	ceilings := o.ceilings()
 	r.Grant = o.hold.Grant()
 	for _, team := range cluster.SortedKeys(ceilings) {
 		s := ceilings[team]
-		o.hold.Promise(r.GetNumber(), team, s)
+		o.hold.Reserve(r.GetNumber(), team, s)
 		r.Reservations = append(r.Reservations, &peerpb.QuotaReservation{Team: team, Cpus: int64(s.CPUs), Gpus: int64(s.GPUs)})
 	}
 	for _, home := range o.yields() {
-		o.hold.Yield(r.GetNumber(), home)
+		o.hold.OfferHandover(r.GetNumber(), home)
 		o.offered[home] = o.loop.Now
 		r.Handovers = append(r.Handovers, home)
 	}
@@ -216,8 +216,8 @@
 
 // TeamUses lists what this controller's tasks use and want, where others
 // have to know it.
-func (o *Owner) TeamUses() []*peerpb.TeamUse {
-	uses := o.Uses()
+func (o *Owner) PublishedTeamUse() []*peerpb.TeamUse {
+	uses := o.TeamUse()
 	var out []*peerpb.TeamUse
 	for _, team := range cluster.SortedKeys(uses) {
 		out = append(out, uses[team])
@@ -227,17 +227,17 @@
 
 // allowance is how many of n tasks the team's limit leaves room for.
 func (o *Owner) allowance(j *Job, n int) int {
-	limit := o.ceilingOf(j.Rec.Team)
+	limit := o.ceilingOf(j.Record.Team)
 	if !limit.Any() {
 		return n
 	}
-	used, need := o.used[j.Rec.Team], j.need()
+	used, need := o.used[j.Record.Team], j.need()
 	room := func(limit, used, need float64) {
 		if limit > 0 && need > 0 {
 			n = min(n, int(max(0, (limit-used+1e-6)/need)))
 		}
 	}
 	room(limit.CPUs, used.CPUs, need.CPUs)
-	room(limit.Cards, used.Cards, need.Cards)
+	room(limit.GPUs, used.GPUs, need.GPUs)
 	return n
 }
--- a/internal/core/owner/workers.go
+++ b/internal/core/owner/workers.go
@@ -6,8 +6,8 @@
 
 	"fawncove/internal/config"
 	"fawncove/internal/core/cluster"
+	"fawncove/internal/core/eventloop"
 	"fawncove/internal/core/sched"
-	"fawncove/internal/core/step"
 	"fawncove/internal/peerpb"
 	"fawncove/internal/wire"
 )
@@ -57,7 +57,7 @@
 	kind     string
 	zone     string
 	spot     bool
-	size     sched.Amount
+	size     sched.Resources
 	session  uint64
 	seq      uint64
 	token    uint64 // highest the worker has reported
@@ -121,7 +121,7 @@
 // bound tells whether the machine runs tasks that may not run on a spot one.
 func (m *machine) bound() bool {
 	for _, r := range m.runs {
-		if r.j != nil && !r.over() && !r.j.Rec.Spot {
+		if r.j != nil && !r.over() && !r.j.Record.Spot {
 			return true
 		}
 	}
@@ -131,7 +131,7 @@
 // calledOff tells whether a task of a job that is over may still be there.
 func (m *machine) calledOff() bool {
 	for _, r := range m.runs {
-		if r.j != nil && r.j.Over && !r.over() {
+		if r.j != nil && r.j.Ended && !r.over() {
 			return true
 		}
 	}
@@ -155,7 +155,7 @@
 // counts tells whether the guest's reports say that its machine lives. Only one
 // that stays where it was answered hears answers; at first it had no chance to.
 func (o *Owner) counts(g *guest) bool {
-	trial := 2*answerTimeout + config.Seconds(1.5*o.view.Cfg.Cluster.Workers.ReportS)
+	trial := 2*answerTimeout + config.Seconds(1.5*o.view.Settings.Cluster.Workers.ReportS)
 	return o.loop.Now.Sub(g.heard) < o.guestFresh() &&
 		(o.loop.Now.Sub(g.first) < trial || o.loop.Now.Sub(g.stayed) < o.guestFresh())
 }
@@ -177,8 +177,8 @@
 // follow goes on from a token that another controller has raised within this grant,
 // see raise.
 func (o *Owner) follow(m *machine, token uint64) {
-	if token > o.tokenFor(m) && o.view.Par.Levels.Gated() {
-		if bump, ok := o.hold.Bump(token); ok {
+	if token > o.tokenFor(m) && o.view.Params.Levels.KnowsLevels() {
+		if bump, ok := o.hold.TokenIncrement(token); ok {
 			m.bump = bump
 		}
 	}
@@ -188,11 +188,11 @@
 // may be answered, and what is known of cancellations is news. One that is cut off would
 // otherwise go on starting what was cancelled elsewhere for most of its lease.
 func (o *Owner) startUntil() time.Time {
-	until := o.hold.Until()
+	until := o.hold.Expires()
 	if fresh := o.answerUntil(); fresh.Before(until) {
 		until = fresh
 	}
-	if fresh := o.known().Add(StartFresh); fresh.Before(until) {
+	if fresh := o.known().Add(StartFreshness); fresh.Before(until) {
 		until = fresh
 	}
 	return until
@@ -200,7 +200,7 @@
 
 // StartFresh is for how long what is known of cancellations is enough to start tasks by:
 // a watch that shows no change, the next one after it, and a second.
-const StartFresh = 2*cluster.WatchHold + time.Second
+const StartFreshness = 2*cluster.WatchHold + time.Second
 
 // known is the moment before which all cancellations told to their users are known.
 func (o *Owner) known() time.Time {
@@ -220,18 +220,18 @@
 // this moment somebody else may have cancelled a task that an answer given
 // here would keep alive for another lease_s.
 func (o *Owner) answerUntil() time.Time {
-	w := o.view.Cfg.Cluster.Workers
-	return o.known().Add(cluster.Shrink(config.Seconds(w.CancelS-w.LeaseS) - 2*time.Second))
+	w := o.view.Settings.Cluster.Workers
+	return o.known().Add(cluster.LocalDuration(config.Seconds(w.CancelS-w.LeaseS) - 2*time.Second))
 }
 
 // Report handles a worker's report.
-func (o *Owner) Report(e step.ReportIn) {
-	r := &e.Report
+func (o *Owner) HandleHeartbeat(e eventloop.HeartbeatRequest) {
+	r := &e.Heartbeat
 	if r.Machine == "" || r.AgentEpoch == 0 {
-		o.loop.Answer(e.Req, 400, wire.ErrorAnswer{Error: "stroj and smjena are needed"})
+		o.loop.Reply(e.Req, 400, wire.ErrorAnswer{Error: "stroj and smjena are needed"})
 		return
 	}
-	if !o.records.Ready() || !o.loop.Now.Before(o.answerUntil()) {
+	if !o.records.WorkersServed() || !o.loop.Now.Before(o.answerUntil()) {
 		o.loop.Unavailable(e.Req)
 		return
 	}
@@ -250,7 +250,7 @@
 		// Overtaken by a newer report, or from before this controller had the
 		// machine; it may be a copy, whose answer nobody reads. A worker that
 		// waits for it has its lease renewed and learns the token.
-		o.loop.Emit(step.Reply{Req: e.Req, Status: 200, Until: o.answerUntil(),
+		o.loop.Emit(eventloop.Reply{Req: e.Req, Status: 200, Until: o.answerUntil(),
 			Body: wire.HeartbeatAnswer{Token: o.tokenFor(m), Commands: []wire.Command{}}})
 		return
 	}
@@ -269,7 +269,7 @@
 	if slices.ContainsFunc(cmds, func(k wire.Command) bool { return k.Op == wire.CommandStart }) {
 		until = o.startUntil()
 	}
-	o.loop.Emit(step.Reply{Req: e.Req, Status: 200, Until: until,
+	o.loop.Emit(eventloop.Reply{Req: e.Req, Status: 200, Until: until,
 		Body: wire.HeartbeatAnswer{Token: o.tokenFor(m), Commands: cmds}})
 }
 
@@ -297,8 +297,8 @@
 			}
 		case r.stop && r.state != runQueued:
 			g := grace
-			if r.j != nil && !r.j.Over && r.j.Rec.CheckpointS > 0 {
-				g = r.j.Rec.SaveS + 1
+			if r.j != nil && !r.j.Ended && r.j.Record.CheckpointS > 0 {
+				g = r.j.Record.SaveS + 1
 			}
 			cmds = append(cmds, wire.Command{Op: wire.CommandHalt, Task: r.task, Attempt: r.attempt, GraceS: &g})
 		}
@@ -348,7 +348,7 @@
 	if r.via == viaDirect && (r.flying || (r.fence != 0 && r.m.token < r.fence)) {
 		return false
 	}
-	return r.j == nil || r.j.Over || !r.j.isDone(r.i) || r.j.isStored(r.i)
+	return r.j == nil || r.j.Ended || !r.j.isDone(r.i) || r.j.isStored(r.i)
 }
 
 // observe takes a report into the picture. full is true for a real report,
@@ -369,7 +369,7 @@
 		return false
 	}
 	renewed := r.AgentEpoch > m.session && m.session != 0
-	if renewed && o.loop.Now.Sub(m.answered) < config.Seconds(o.view.Cfg.Cluster.Workers.LeaseS) {
+	if renewed && o.loop.Now.Sub(m.answered) < config.Seconds(o.view.Settings.Cluster.Workers.LeaseS) {
 		o.suspect(m) // its lease ended although it was answered
 	}
 	m.session, m.seq, m.token = r.AgentEpoch, r.Sequence, max(m.token, r.Token)
@@ -383,24 +383,24 @@
 		// A machine that was given up and reports after all, say after a cut,
 		// is as good as before, unless it is being returned already.
 		if m.lost {
-			o.hold.Hurry() // it may yet be kept
+			o.hold.RequestRenewal() // it may yet be kept
 		}
 		m.lost, m.missed = false, false
 	}
 	if m.kind != r.Type {
 		m.kind = r.Type
 	}
-	if t, ok := o.view.Types[m.kind]; ok {
-		m.size = cluster.SizeOf(t)
+	if t, ok := o.view.MachineTypes[m.kind]; ok {
+		m.size = cluster.MachineSize(t)
 	}
 	if r.NoticeS != nil {
 		if m.gone.IsZero() {
 			m.gone = o.loop.Now.Add(config.Seconds(*r.NoticeS))
-			o.hold.Hurry() // another can be rented meanwhile
+			o.hold.RequestRenewal() // another can be rented meanwhile
 			// What can be saved is saved now and goes on elsewhere, and
 			// replicas move. The rest runs on: it may still complete.
 			for _, a := range m.runs {
-				if a.j != nil && !a.over() && a.state != runQueued && (a.j.Rec.CheckpointS > 0 || a.j.Rec.Shape == wire.Daemon) {
+				if a.j != nil && !a.over() && a.state != runQueued && (a.j.Record.CheckpointS > 0 || a.j.Record.Shape == wire.Daemon) {
 					a.stop = true
 					o.hurry(m)
 				}
@@ -433,7 +433,7 @@
 		if t.State == wire.TaskRunning && a.state != wire.TaskRunning {
 			a.started = o.loop.Now
 			if a.j != nil {
-				m.keep(a.j.Rec.Image, a.j.Rec.ImageGB, o.view.Types[m.kind].CacheGB, true)
+				m.keep(a.j.Record.Image, a.j.Record.ImageGB, o.view.MachineTypes[m.kind].CacheGB, true)
 			}
 		}
 		a.state = t.State
@@ -472,7 +472,7 @@
 	m.runs[runKey{t.Task, t.Attempt}] = a
 	id, i, ok := splitTask(t.Task)
 	j := o.jobs[id]
-	if !ok || j == nil || j.runs == nil || i >= j.Rec.Tasks {
+	if !ok || j == nil || j.runs == nil || i >= j.Record.Tasks {
 		return a
 	}
 	a.i = i
@@ -480,7 +480,7 @@
 		a.j = j
 		return a
 	}
-	if j.Over || j.isDone(i) || j.runs[i] != nil {
+	if j.Ended || j.isDone(i) || j.runs[i] != nil {
 		if j.runs[i] != nil {
 			o.log.Error("task is on two machines", "task", t.Task, "machine", m.name, "other", j.runs[i].m.name)
 		}
@@ -501,7 +501,7 @@
 		return
 	}
 	r.counted = n > 0
-	o.used[r.j.Rec.Team] = o.used[r.j.Rec.Team].Add(r.j.need(), n)
+	o.used[r.j.Record.Team] = o.used[r.j.Record.Team].Add(r.j.need(), n)
 }
 
 // detach takes an attempt that is surely not running off its job.
@@ -512,7 +512,7 @@
 		return
 	}
 	delete(j.runs, r.i)
-	if again && !j.Over && !j.isDone(r.i) && j.ready {
+	if again && !j.Ended && !j.isDone(r.i) && j.ready {
 		if k, ok := slices.BinarySearch(j.queue, r.i); !ok {
 			j.queue = slices.Insert(j.queue, k, r.i)
 		}
@@ -521,8 +521,8 @@
 		}
 	}
 	o.placeDue = true
-	if j.Over && len(j.runs) == 0 {
-		delete(o.jobs, j.Rec.ID)
+	if j.Ended && len(j.runs) == 0 {
+		delete(o.jobs, j.Record.ID)
 	}
 }
 
@@ -541,7 +541,7 @@
 	}
 	switch t.Reason {
 	case wire.ReasonDone:
-		if j.runs != nil && j.Rec.Shape != wire.Daemon {
+		if j.runs != nil && j.Record.Shape != wire.Daemon {
 			o.markDone(j, r.i)
 			o.learn(r)
 		}
@@ -556,7 +556,7 @@
 		j.notBefore = o.loop.Now.Add(2 * time.Second)
 	}
 	o.detach(r, true)
-	if j.doneCount == j.Rec.Tasks {
+	if j.doneCount == j.Record.Tasks {
 		o.endJobs()
 	}
 }
@@ -602,7 +602,7 @@
 		j.notBefore = o.loop.Now.Add(min(time.Minute, time.Second<<min(j.failures, 6)))
 		for name := range j.failedOn {
 			if x := o.machines[name]; x != nil {
-				delete(x.errors, j.Rec.ID)
+				delete(x.errors, j.Record.ID)
 				x.bad = x.bad && len(x.errors) >= badAfter
 			}
 		}
@@ -616,25 +616,25 @@
 	if key := r.task; j.doneCount > 0 {
 		m.errors[key] = true
 	} else {
-		m.errors[j.Rec.ID] = true
+		m.errors[j.Record.ID] = true
 	}
 	if len(m.errors) >= badAfter && !m.bad {
 		m.bad = true
-		o.hold.Hurry()
+		o.hold.RequestRenewal()
 		o.log.Info("machine set aside", "machine", m.name, "errors", len(m.errors))
 	}
 }
 
 // learn compares a completed task's run time with its estimate.
 func (o *Owner) learn(r *run) {
-	if r.started.IsZero() || r.j.Rec.EstimateS <= 0 {
+	if r.started.IsZero() || r.j.Record.EstimateS <= 0 {
 		return
 	}
-	s := o.class(r.j.Rec.Class)
+	s := o.class(r.j.Record.Class)
 	s.n++
 	took := o.loop.Now.Sub(r.started).Seconds()
 	w := max(0.05, 1/float64(s.n+3))
-	s.ratio += w * (took/r.j.Rec.EstimateS - s.ratio)
+	s.ratio += w * (took/r.j.Record.EstimateS - s.ratio)
 	s.mean += max(0.05, 1/float64(s.n)) * (took - s.mean)
 }
 
@@ -665,21 +665,21 @@
 }
 
 // guestReport handles a machine that is not in this controller's block.
-func (o *Owner) guestReport(e step.ReportIn) {
-	r := &e.Report
+func (o *Owner) guestReport(e eventloop.HeartbeatRequest) {
+	r := &e.Heartbeat
 	g := o.guests[r.Machine]
 	if g != nil && (r.AgentEpoch < g.rep.AgentEpoch || (r.AgentEpoch == g.rep.AgentEpoch && r.Sequence <= g.rep.Sequence)) {
 		o.loop.Unavailable(e.Req) // a late copy
 		return
 	}
-	if g == nil || r.AgentEpoch > g.rep.AgentEpoch || o.loop.Now.Sub(g.heard) > config.Seconds(o.view.Cfg.Cluster.Workers.LeaseS) {
+	if g == nil || r.AgentEpoch > g.rep.AgentEpoch || o.loop.Now.Sub(g.heard) > config.Seconds(o.view.Settings.Cluster.Workers.LeaseS) {
 		first := o.loop.Now
 		if g != nil {
 			first = g.first // a machine that hears nobody stays one
 		}
 		g = &guest{since: o.loop.Now, first: first}
 		o.guests[r.Machine] = g
-		o.hold.Hurry() // its owner may take it for lost
+		o.hold.RequestRenewal() // its owner may take it for lost
 	}
 	if g.kept != 0 && r.Sequence == g.kept+1 {
 		g.stayed = o.loop.Now
@@ -689,34 +689,34 @@
 }
 
 // answerGuest answers a guest's newest report.
-func (o *Owner) answerGuest(e step.ReportIn, g *guest) {
-	r := &e.Report
-	owner := o.view.OwnerOf(r.Machine)
+func (o *Owner) answerGuest(e eventloop.HeartbeatRequest, g *guest) {
+	r := &e.Heartbeat
+	owner := o.view.HolderOf(r.Machine)
 	if owner == "" {
-		o.hold.Hurry() // the leader has to hear of it
-		if !o.view.Leading && o.view.LinkUp(o.view.Lease.Leader, o.loop.Now) {
-			o.loop.Answer(e.Req, 421, wire.Redirect{Controller: o.view.Lease.Leader})
+		o.hold.RequestRenewal() // the leader has to hear of it
+		if !o.view.IsLeader && o.view.IsReachable(o.view.Lease.Leader, o.loop.Now) {
+			o.loop.Reply(e.Req, 421, wire.Redirect{Controller: o.view.Lease.Leader})
 			return
 		}
-		if o.view.Leading && r.Token <= o.hold.Token(0) {
+		if o.view.IsLeader && r.Token <= o.hold.Token(0) {
 			// Answered when the machine is in a block, see releaseGuests.
 			g.pending = append(g.pending, e.Req)
 			return
 		}
-	} else if owner != o.view.Me && o.view.LinkUp(owner, o.loop.Now) && o.loop.Now.Sub(g.sent) > redirectEvery {
+	} else if owner != o.view.Self && o.view.IsReachable(owner, o.loop.Now) && o.loop.Now.Sub(g.sent) > redirectEvery {
 		first := g.sent.IsZero()
 		g.sent = o.loop.Now
 		// Where no worker gets through it is kept at first; later it is to try
 		// all the same.
-		if !first || !o.view.Peers[owner].NoReports {
-			o.loop.Answer(e.Req, 421, wire.Redirect{Controller: owner})
+		if !first || !o.view.Peers[owner].NoHeartbeats {
+			o.loop.Reply(e.Req, 421, wire.Redirect{Controller: owner})
 			return
 		}
 	}
 	// The owner is out of reach for this worker. An answer keeps its tasks alive
 	// without a right to start anything. Not for long: meanwhile its owner cannot
 	// tell what became of them.
-	w := o.view.Cfg.Cluster.Workers
+	w := o.view.Settings.Cluster.Workers
 	if o.loop.Now.Sub(g.since) > config.Seconds(max(0, w.CancelS-w.LeaseS-7)) {
 		o.loop.Unavailable(e.Req)
 		if o.loop.Now.Sub(g.since) > config.Seconds(w.CancelS+2*w.LeaseS) {
@@ -731,10 +731,10 @@
 	cmds := []wire.Command{}
 	for _, t := range r.Tasks {
 		id, _, _ := splitTask(t.Task)
-		if j := o.jobs[id]; t.State == wire.TaskEnded || (j != nil && !j.Over) {
+		if j := o.jobs[id]; t.State == wire.TaskEnded || (j != nil && !j.Ended) {
 			continue
 		}
-		if !o.records.Ended(id) && o.loop.Now.Sub(o.fresh) > cluster.WatchHold+time.Second {
+		if !o.records.HasEnded(id) && o.loop.Now.Sub(o.fresh) > cluster.WatchHold+time.Second {
 			o.loop.Unavailable(e.Req)
 			return
 		}
@@ -743,10 +743,10 @@
 	}
 	g.kept = r.Sequence
 	token := r.Token
-	if owner == o.view.Me || (owner != "" && o.view.Peers[owner] != nil && o.view.Peers[owner].FollowsRaised) {
+	if owner == o.view.Self || (owner != "" && o.view.Peers[owner] != nil && o.view.Peers[owner].AcceptsRaisedTokens) {
 		token = o.raise(g)
 	}
-	o.loop.Emit(step.Reply{Req: e.Req, Status: 200, Until: o.answerUntil(),
+	o.loop.Emit(eventloop.Reply{Req: e.Req, Status: 200, Until: o.answerUntil(),
 		Body: wire.HeartbeatAnswer{Token: token, Commands: cmds}})
 }
 
@@ -776,7 +776,7 @@
 // this controller takes itself for cut off from the workers: of many, some
 // report all the time.
 func (o *Owner) unreportedAfter() time.Duration {
-	every := config.Seconds(o.view.Cfg.Cluster.Workers.ReportS)
+	every := config.Seconds(o.view.Settings.Cluster.Workers.ReportS)
 	if len(o.machines) >= 8 {
 		return 2*time.Second + every/2
 	}
@@ -784,20 +784,20 @@
 }
 
 // Unreported tells whether the block has machines and none of them reports.
-func (o *Owner) Unreported() bool {
+func (o *Owner) NoHeartbeats() bool {
 	return len(o.machines) > 0 && o.loop.Now.Sub(o.reported) > o.unreportedAfter()
 }
 
 // Deserted tells whether none of them has reported for so long that those who
 // turned to others must have been sent back here meanwhile.
-func (o *Owner) Deserted() bool {
+func (o *Owner) AllWorkersElsewhere() bool {
 	return len(o.machines) > 0 && o.loop.Now.Sub(o.reported) > o.unreportedAfter()+redirectEvery+2*time.Second
 }
 
 // Woke notes that this controller has stood still for a while: that it heard
 // nothing meanwhile says nothing about the machines. Else a leader that wakes
 // would return its whole block before it reads a single report.
-func (o *Owner) Woke(gap time.Duration) {
+func (o *Owner) ResumedAfter(gap time.Duration) {
 	o.reported = o.loop.Now
 	for _, m := range o.machines {
 		m.heard = m.heard.Add(gap)
@@ -806,11 +806,11 @@
 
 // GuestsOf counts the machines of each other controller's block that report
 // here and stay.
-func (o *Owner) GuestsOf() map[string]int32 {
+func (o *Owner) ForeignWorkersByHolder() map[string]int32 {
 	var out map[string]int32
 	for name, g := range o.guests {
-		owner := o.view.OwnerOf(name)
-		if owner == "" || owner == o.view.Me || o.loop.Now.Sub(g.stayed) > o.guestFresh() {
+		owner := o.view.HolderOf(name)
+		if owner == "" || owner == o.view.Self || o.loop.Now.Sub(g.stayed) > o.guestFresh() {
 			continue
 		}
 		if out == nil {
@@ -825,7 +825,7 @@
 // that has died since would otherwise not be released, and all that may have
 // run on it would wait.
 func (o *Owner) guestFresh() time.Duration {
-	return min(10*time.Second, config.Seconds(aloneReports*o.view.Cfg.Cluster.Workers.ReportS))
+	return min(10*time.Second, config.Seconds(aloneReports*o.view.Settings.Cluster.Workers.ReportS))
 }
 
 // releaseGuests answers reports that waited for their machine's block.
@@ -839,7 +839,7 @@
 	}
 	for _, name := range cluster.SortedKeys(o.guests) {
 		g := o.guests[name]
-		if g == nil || len(g.pending) == 0 || (!all && o.view.OwnerOf(name) == "" && o.loop.Now.Sub(g.heard) < 2*time.Second) {
+		if g == nil || len(g.pending) == 0 || (!all && o.view.HolderOf(name) == "" && o.loop.Now.Sub(g.heard) < 2*time.Second) {
 			continue
 		}
 		reqs := g.pending
@@ -848,12 +848,12 @@
 			o.loop.Unavailable(req)
 		}
 		last := reqs[len(reqs)-1]
-		if o.view.OwnerOf(name) == "" {
+		if o.view.HolderOf(name) == "" {
 			o.loop.Unavailable(last)
 			continue
 		}
-		if e := (step.ReportIn{Req: last, Report: g.rep}); o.machines[name] != nil {
-			o.Report(e)
+		if e := (eventloop.HeartbeatRequest{Req: last, Heartbeat: g.rep}); o.machines[name] != nil {
+			o.HandleHeartbeat(e)
 		} else {
 			o.answerGuest(e, g)
 		}
@@ -896,13 +896,13 @@
 			// with a token above that would outlive all raises.
 			token = min(token, m.token)
 		}
-		o.loop.Emit(step.Direct{Endpoint: m.endpoint, Until: o.startUntil(),
+		o.loop.Emit(eventloop.WorkerCommands{Endpoint: m.endpoint, Until: o.startUntil(),
 			Body: wire.Commands{Token: token, AgentEpoch: m.session, Commands: cmds},
-			ID:   o.loop.Call(func(d step.Completed) { o.directDone(m, sent, d) })})
+			ID:   o.loop.Call(func(d eventloop.Completion) { o.directDone(m, sent, d) })})
 	}
 }
 
-func (o *Owner) directDone(m *machine, sent []*run, d step.Completed) {
+func (o *Owner) directDone(m *machine, sent []*run, d eventloop.Completion) {
 	m.calling = false
 	for _, r := range sent {
 		r.flying = false
@@ -911,11 +911,11 @@
 		return
 	}
 	switch {
-	case d.Status == 200 && d.Report != nil && d.Report.Machine == m.name:
+	case d.Status == 200 && d.Heartbeat != nil && d.Heartbeat.Machine == m.name:
 		for _, r := range sent {
 			r.fence = 0 // answered: no copy is on its way
 		}
-		o.observe(m, d.Report, false)
+		o.observe(m, d.Heartbeat, false)
 	case d.Status == 409 || d.Status == 400 || d.Status == -1:
 		// Nothing was executed, and this request never will be.
 		for _, r := range sent {
@@ -923,9 +923,9 @@
 				o.dropRun(r)
 			}
 		}
-		if d.Status == 409 && d.Report != nil && d.Report.Machine == m.name {
-			o.follow(m, d.Report.Token)
-			o.observe(m, d.Report, false)
+		if d.Status == 409 && d.Heartbeat != nil && d.Heartbeat.Machine == m.name {
+			o.follow(m, d.Heartbeat.Token)
+			o.observe(m, d.Heartbeat, false)
 		}
 		m.noDirect = o.loop.Now.Add(2 * time.Second)
 	default:
@@ -933,7 +933,7 @@
 		// next answer to the worker's report settles that.
 		o.suspect(m)
 		m.unanswered++
-		m.noDirect = o.loop.Now.Add(config.Seconds(2 * o.view.Cfg.Cluster.Workers.ReportS))
+		m.noDirect = o.loop.Now.Add(config.Seconds(2 * o.view.Settings.Cluster.Workers.ReportS))
 	}
 	o.touchIdle(m)
 }
@@ -987,9 +987,9 @@
 		}
 		m.calling, m.calledAt = true, o.loop.Now
 		o.asking++
-		o.loop.Emit(step.Direct{Endpoint: m.endpoint, Until: o.hold.Until(),
+		o.loop.Emit(eventloop.WorkerCommands{Endpoint: m.endpoint, Until: o.hold.Expires(),
 			Body: wire.Commands{Token: o.tokenFor(m), AgentEpoch: session, Commands: []wire.Command{}},
-			ID: o.loop.Call(func(d step.Completed) {
+			ID: o.loop.Call(func(d eventloop.Completion) {
 				o.asking--
 				o.directDone(m, nil, d)
 				if d.Status == 409 && m.session != 0 && m.session != session {
@@ -1028,7 +1028,7 @@
 
 // silent tells whether a machine has missed its reports.
 func (o *Owner) silent(m *machine) bool {
-	return o.loop.Now.Sub(m.heard) > config.Seconds(aloneReports*o.view.Cfg.Cluster.Workers.ReportS)
+	return o.loop.Now.Sub(m.heard) > config.Seconds(aloneReports*o.view.Settings.Cluster.Workers.ReportS)
 }
 
 // census counts a zone's machines, all and ordinary ones, and how many of
@@ -1052,8 +1052,8 @@
 // checkMachines looks for machines that fell silent.
 func (o *Owner) checkMachines() {
 	o.releaseGuests(false)
-	w := o.view.Cfg.Cluster.Workers
-	limit := cluster.Stretch(config.Seconds(w.LeaseS)) + time.Second
+	w := o.view.Settings.Cluster.Workers
+	limit := cluster.RemoteDuration(config.Seconds(w.LeaseS)) + time.Second
 	// Machines of a zone that fall silent together are cut off rather than
 	// dead. They come back as they were when the cut ends, so they are given
 	// more time; new ones would take a boot time and may not be had at all.
@@ -1116,20 +1116,20 @@
 			// Another can be rented before this one is given up.
 			if silent > few && !m.missed {
 				m.missed = true
-				o.hold.Hurry()
+				o.hold.RequestRenewal()
 			}
 		}
 		if silent > patience ||
 			(!m.gone.IsZero() && o.loop.Now.Sub(m.gone) > 2*time.Second && silent > config.Seconds(1.5*w.ReportS)) {
 			m.lost = true
-			o.hold.Hurry()
+			o.hold.RequestRenewal()
 			o.log.Info("machine lost", "machine", m.name, "silent", silent)
 		}
 		// A machine that has not been heard since it was taken over may run
 		// tasks that are not known yet: empty means known to be empty.
 		if m.recall && !m.gave && len(m.runs) == 0 && !m.calling && !m.unsure() && m.session != 0 {
 			m.gave = true
-			o.hold.Hurry()
+			o.hold.RequestRenewal()
 		}
 	}
 	for name, g := range o.guests {
--- a/internal/core/owner/yield.go
+++ b/internal/core/owner/yield.go
@@ -28,9 +28,9 @@
 		return nil
 	}
 	var out []string
-	for _, t := range o.view.Cfg.Cluster.Teams {
+	for _, t := range o.view.Settings.Cluster.Teams {
 		mine, least := o.spread(t.Name)
-		if len(mine) < 2 || least < 0 || o.Unheard() > 0 {
+		if len(mine) < 2 || least < 0 || o.UnreconciledMachines() > 0 {
 			continue
 		}
 		for i := len(mine) - 1; i > 0; i-- {
@@ -52,15 +52,15 @@
 // none.
 func (o *Owner) spread(team string) (mine []string, least int) {
 	homes := o.view.Lease.Partitions
-	for _, home := range cluster.Homes(homes, team) {
-		if homes[home] == o.view.Me {
+	for _, home := range cluster.Partitions(homes, team) {
+		if homes[home] == o.view.Self {
 			mine = append(mine, home)
 		}
 	}
-	count := cluster.CountHomes(homes, team)
+	count := cluster.CountPartitions(homes, team)
 	least = -1
 	for node := range o.view.Peers {
-		if _, ok := o.view.Lease.Blocks[node]; ok && o.view.LinkUp(node, o.loop.Now) && (least < 0 || count[node] < least) {
+		if _, ok := o.view.Lease.Blocks[node]; ok && o.view.IsReachable(node, o.loop.Now) && (least < 0 || count[node] < least) {
 			least = count[node]
 		}
 	}
@@ -68,7 +68,7 @@
 }
 
 // Unheard counts the machines that may run tasks which are not known here.
-func (o *Owner) Unheard() int {
+func (o *Owner) UnreconciledMachines() int {
 	n := 0
 	for _, m := range o.machines {
 		if m.unsure() {
@@ -88,10 +88,10 @@
 		}
 		// A completed task that is not stored would be run again: its worker
 		// reports to this controller only.
-		if len(j.runs) > 0 || j.Writing || (!j.Over && (!j.ready || j.doneCount == j.Rec.Tasks || !j.allStored())) {
+		if len(j.runs) > 0 || j.EndInFlight || (!j.Ended && (!j.ready || j.doneCount == j.Record.Tasks || !j.allStored())) {
 			return 0, false
 		}
-		waits += float64(len(j.queue)) * j.Rec.CPUs
+		waits += float64(len(j.queue)) * j.Record.CPUs
 	}
 	return waits, true
 }
@@ -109,12 +109,12 @@
 // elsewhere tells whether work has no room here that it would have with another
 // controller.
 func (o *Owner) elsewhere(cpus float64) bool {
-	busy, _, size := o.Measure()
+	busy, _, size := o.ProcessorUse()
 	if busy <= size {
 		return false
 	}
 	for node, p := range o.view.Peers {
-		if o.view.LinkUp(node, o.loop.Now) && p.Spare >= cpus {
+		if o.view.IsReachable(node, o.loop.Now) && p.SpareCPUs >= cpus {
 			return true
 		}
 	}
@@ -127,7 +127,7 @@
 func (o *Owner) leave(home string) {
 	moved := 0
 	for _, j := range o.jobs {
-		if j.home() != home || j.Over {
+		if j.home() != home || j.Ended {
 			continue
 		}
 		moved++
--- a/internal/core/share/share.go
+++ b/internal/core/quota/quota.go
@@ -1,4 +1,4 @@
-// Package share parts a team's limit over controllers. Each controller holds a
+// Package quota parts a team's limit over controllers. Each controller holds a
 // share, named in the lease value, and its tasks of the team never use more.
 // Shares together never exceed the limit:
 //
@@ -11,7 +11,7 @@
 //     which its tasks may still run.
 //
 // The package decides and remembers; it knows neither time nor messages.
-package share
+package quota
 
 import (
 	"maps"
@@ -24,9 +24,9 @@
 // Need is what one controller's tasks of a team use and ask for, in processors
 // or in cards.
 type Need struct {
-	Used float64 // of tasks that are not surely gone
-	Want float64 // Used and what waits
-	Must float64 // the least that something that waits can start with, see Stuck
+	InUse      float64 // of tasks that are not surely gone
+	Wanted     float64 // Used and what waits
+	MinToStart float64 // the least that something that waits can start with, see Stuck
 }
 
 // Targets tells what part of limit each controller should hold: what it wants,
@@ -42,11 +42,11 @@
 	left, wants := limit, 0.0
 	floor := map[string]float64{}
 	for _, n := range names {
-		if m := needs[n].Must; m > 0 && m <= left {
+		if m := needs[n].MinToStart; m > 0 && m <= left {
 			floor[n] = m
 			left -= m
 		}
-		wants += max(0, needs[n].Want-floor[n])
+		wants += max(0, needs[n].Wanted-floor[n])
 	}
 	spare := 0.0
 	cut := 1.0
@@ -56,7 +56,7 @@
 		spare = (left - wants) / float64(len(names))
 	}
 	for _, n := range names {
-		out[n] = floor[n] + cut*max(0, needs[n].Want-floor[n]) + spare
+		out[n] = floor[n] + cut*max(0, needs[n].Wanted-floor[n]) + spare
 	}
 	return out
 }
@@ -67,14 +67,14 @@
 // Stuck tells whether a controller's share is less than what its largest
 // waiting task, or a gang beside what runs, needs, though its target has room
 // for that: then it cannot start at all, however little is missing.
-func Stuck(share, target float64, need Need) bool {
-	return need.Must > share && need.Must <= target+1
+func TooSmallToStart(share, target float64, need Need) bool {
+	return need.MinToStart > share && need.MinToStart <= target+1
 }
 
 // Short tells whether a controller with this share has to wait for more
 // although others hold more than their targets.
-func Short(share, target float64, need Need) bool {
-	return share+1+slack*target < min(need.Want, target) || Stuck(share, target, need)
+func NeedsMore(share, target float64, need Need) bool {
+	return share+1+slack*target < min(need.Wanted, target) || TooSmallToStart(share, target, need)
 }
 
 // Gather names the controller that should get what the others cannot use, and how large
@@ -82,27 +82,27 @@
 // the share there, and all that is left would do for one of them, work would else wait
 // beside room, with its team under its limit, until something ends: replicas never do.
 // Of those whose next task it does for, it is the one with most left.
-func Gather(limit int, shares map[string]int, needs map[string]Need) (node string, share int, ok bool) {
+func ConcentrateOn(limit int, shares map[string]int, needs map[string]Need) (node string, share int, ok bool) {
 	unused := float64(limit)
 	for n, s := range shares {
 		taken := float64(s)
 		if x, told := needs[n]; told {
-			taken = min(taken, x.Used)
+			taken = min(taken, x.InUse)
 		}
 		unused -= taken
 	}
 	most := 0.0
 	for _, n := range slices.Sorted(maps.Keys(needs)) {
 		x := needs[n]
-		if x.Want <= x.Used || x.Must <= 0 {
+		if x.Wanted <= x.InUse || x.MinToStart <= 0 {
 			continue // nothing waits, or it is not known what
 		}
-		left := max(0, float64(shares[n])-x.Used)
-		if x.Must <= left {
+		left := max(0, float64(shares[n])-x.InUse)
+		if x.MinToStart <= left {
 			return "", 0, false
 		}
-		if x.Must <= unused && (node == "" || left > most) {
-			node, share, most = n, int(math.Ceil(x.Used+x.Must-1e-9)), left
+		if x.MinToStart <= unused && (node == "" || left > most) {
+			node, share, most = n, int(math.Ceil(x.InUse+x.MinToStart-1e-9)), left
 		}
 	}
 	return node, share, node != ""
@@ -111,7 +111,7 @@
 // Lower returns the ceiling that a holder should promise: its target, when
 // another is short and it holds more than that, or a whole processor more when
 // another is stuck. It is never below what is used.
-func Lower(share int, target, used float64, stuck bool) (ceiling int, yes bool) {
+func ReservationFor(share int, target, used float64, stuck bool) (ceiling int, yes bool) {
 	if stuck {
 		c := int(math.Ceil(max(math.Floor(target), used)))
 		return c, share > c
@@ -124,7 +124,7 @@
 // to those below their targets, in proportion to what they lack, the short ones first.
 // It returns the new
 // shares, and whether a short one was raised or much was given.
-func Raise(limit int, shares map[string]int, targets map[string]float64, needs map[string]Need) (map[string]int, bool) {
+func GrantFree(limit int, shares map[string]int, targets map[string]float64, needs map[string]Need) (map[string]int, bool) {
 	free := limit
 	for _, s := range shares {
 		free -= s
@@ -137,7 +137,7 @@
 		return out, false
 	}
 	worth := false
-	if n, share, ok := Gather(limit, shares, needs); ok && share > out[n] {
+	if n, share, ok := ConcentrateOn(limit, shares, needs); ok && share > out[n] {
 		g := min(share-out[n], free)
 		out[n] += g
 		free -= g
@@ -148,7 +148,7 @@
 		lack := map[string]float64{}
 		sum := 0.0
 		for _, n := range names {
-			if shortOnly && !Short(float64(out[n]), targets[n], needs[n]) {
+			if shortOnly && !NeedsMore(float64(out[n]), targets[n], needs[n]) {
 				continue
 			}
 			if l := targets[n] - float64(out[n]); l >= 1 {
@@ -182,7 +182,7 @@
 
 // Holder keeps the promises that a controller has made and whose renewals no
 // lease value it has seen honours yet.
-type Holder struct{ open []promise }
+type Reservations struct{ open []promise }
 
 type promise struct {
 	renewal uint64
@@ -192,23 +192,23 @@
 
 // Promise notes that the renewal with this number promises a ceiling. From now
 // on Ceiling keeps to it.
-func (h *Holder) Promise(renewal uint64, team string, ceiling wire.Share) {
+func (h *Reservations) Reserve(renewal uint64, team string, ceiling wire.Share) {
 	h.open = append(h.open, promise{renewal, team, ceiling})
 }
 
 // Honoured notes that the lease value honours the renewal with this number.
 // The shares in that value, and in later ones, are after its promises.
-func (h *Holder) Honoured(renewal uint64) {
+func (h *Reservations) Acknowledge(renewal uint64) {
 	h.open = slices.DeleteFunc(h.open, func(p promise) bool { return p.renewal <= renewal })
 }
 
 // Reset forgets all promises, together with the grant under which they were
 // made.
-func (h *Holder) Reset() { h.open = nil }
+func (h *Reservations) Reset() { h.open = nil }
 
 // Ceiling is what the team's tasks may use here: the share as the lease value
 // names it, or less if less was promised.
-func (h *Holder) Ceiling(team string, s wire.Share) wire.Share {
+func (h *Reservations) Usable(team string, s wire.Share) wire.Share {
 	for _, p := range h.open {
 		if p.team == team {
 			s.CPUs, s.GPUs = min(s.CPUs, p.ceiling.CPUs), min(s.GPUs, p.ceiling.GPUs)
