--- a/internal/core/share/share_test.go
+++ b/internal/core/quota/quota_test.go
@@ -1,4 +1,4 @@
-package share
+package quota
 
 import (
 	"fmt"
@@ -18,10 +18,10 @@
 		needs map[string]Need
 		want  map[string]float64
 	}{
-		{"room for all", 100, map[string]Need{"a": {Want: 10}, "b": {Want: 30}}, map[string]float64{"a": 40, "b": 60}},
-		{"too much wanted", 100, map[string]Need{"a": {Want: 50}, "b": {Want: 150}}, map[string]float64{"a": 25, "b": 75}},
-		{"a gang", 100, map[string]Need{"a": {Want: 60, Must: 60}, "b": {Want: 160}}, map[string]float64{"a": 60, "b": 40}},
-		{"a gang that cannot be had", 100, map[string]Need{"a": {Want: 200, Must: 200}, "b": {Want: 200}}, map[string]float64{"a": 50, "b": 50}},
+		{"room for all", 100, map[string]Need{"a": {Wanted: 10}, "b": {Wanted: 30}}, map[string]float64{"a": 40, "b": 60}},
+		{"too much wanted", 100, map[string]Need{"a": {Wanted: 50}, "b": {Wanted: 150}}, map[string]float64{"a": 25, "b": 75}},
+		{"a gang", 100, map[string]Need{"a": {Wanted: 60, MinToStart: 60}, "b": {Wanted: 160}}, map[string]float64{"a": 60, "b": 40}},
+		{"a gang that cannot be had", 100, map[string]Need{"a": {Wanted: 200, MinToStart: 200}, "b": {Wanted: 200}}, map[string]float64{"a": 50, "b": 50}},
 	} {
 		got := Targets(c.limit, c.needs)
 		for n, w := range c.want {
@@ -44,9 +44,9 @@
 			n := fmt.Sprint("n", i)
 			shares[n] = r.IntN(left + 1)
 			left -= shares[n]
-			needs[n] = Need{Want: float64(r.IntN(2 * limit)), Must: float64(r.IntN(20))}
+			needs[n] = Need{Wanted: float64(r.IntN(2 * limit)), MinToStart: float64(r.IntN(20))}
 		}
-		got, _ := Raise(limit, shares, Targets(float64(limit), needs), needs)
+		got, _ := GrantFree(limit, shares, Targets(float64(limit), needs), needs)
 		sum := 0
 		for n := range needs {
 			if got[n] < shares[n] {
@@ -58,8 +58,8 @@
 			t.Fatalf("%v is above %d", got, limit)
 		}
 	}
-	needs := map[string]Need{"a": {Used: 10, Want: 10}, "b": {Used: 20, Want: 90}}
-	got, worth := Raise(100, map[string]int{"a": 40, "b": 20}, Targets(100, needs), needs)
+	needs := map[string]Need{"a": {InUse: 10, Wanted: 10}, "b": {InUse: 20, Wanted: 90}}
+	got, worth := GrantFree(100, map[string]int{"a": 40, "b": 20}, Targets(100, needs), needs)
 	if got["b"] != 60 || !worth {
 		t.Errorf("the short one got %v, worth a write: %v", got, worth)
 	}
@@ -68,20 +68,20 @@
 // TestLargeTaskIsNotStuck: with a full limit, a controller that lacks a single
 // processor for its only task gets it, though no other is far above its target.
 func TestLargeTaskIsNotStuck(t *testing.T) {
-	needs := map[string]Need{"a": {Want: 8, Must: 8}, "b": {Used: 46, Want: 90}, "c": {Used: 46, Want: 90}}
+	needs := map[string]Need{"a": {Wanted: 8, MinToStart: 8}, "b": {InUse: 46, Wanted: 90}, "c": {InUse: 46, Wanted: 90}}
 	shares := map[string]int{"a": 7, "b": 46, "c": 47}
 	targets := Targets(100, needs)
 	lowered := 0
 	for _, n := range []string{"b", "c"} {
-		if !Short(float64(shares["a"]), targets["a"], needs["a"]) {
+		if !NeedsMore(float64(shares["a"]), targets["a"], needs["a"]) {
 			t.Fatal("not short")
 		}
-		if c, yes := Lower(shares[n], targets[n], needs[n].Used, Stuck(float64(shares["a"]), targets["a"], needs["a"])); yes {
+		if c, yes := ReservationFor(shares[n], targets[n], needs[n].InUse, TooSmallToStart(float64(shares["a"]), targets["a"], needs["a"])); yes {
 			lowered += shares[n] - c
 			shares[n] = c
 		}
 	}
-	got, worth := Raise(100, shares, targets, needs)
+	got, worth := GrantFree(100, shares, targets, needs)
 	if lowered == 0 || got["a"] < 8 || !worth {
 		t.Errorf("lowered by %d, the shares are %v", lowered, got)
 	}
@@ -90,7 +90,7 @@
 // TestGather: what nobody can use alone is gathered for one, and for nobody while
 // something that waits can start, or all that is left would not do.
 func TestGather(t *testing.T) {
-	busy := func(used float64) Need { return Need{Used: used, Want: used + 20, Must: 2} }
+	busy := func(used float64) Need { return Need{InUse: used, Wanted: used + 20, MinToStart: 2} }
 	for _, c := range []struct {
 		name   string
 		limit  int
@@ -103,11 +103,11 @@
 		{"partly given up", 24, map[string]int{"a": 8, "b": 9, "c": 6}, map[string]Need{"a": busy(8), "b": busy(8), "c": busy(6)}, "b", 10},
 		{"one can start", 24, map[string]int{"a": 8, "b": 8, "c": 8}, map[string]Need{"a": busy(8), "b": busy(8), "c": busy(6)}, "", 0},
 		{"all of it would not do", 24, map[string]int{"a": 8, "b": 9, "c": 7}, map[string]Need{"a": busy(8), "b": busy(8), "c": busy(7)}, "", 0},
-		{"held by one for whom nothing waits", 24, map[string]int{"a": 8, "b": 8, "c": 8}, map[string]Need{"a": busy(8), "b": busy(8), "c": {Used: 5, Want: 5}}, "a", 10},
-		{"not known what waits", 24, map[string]int{"a": 8, "b": 8, "c": 8}, map[string]Need{"a": {Used: 8, Want: 20}, "c": {Used: 5, Want: 5}}, "", 0},
+		{"held by one for whom nothing waits", 24, map[string]int{"a": 8, "b": 8, "c": 8}, map[string]Need{"a": busy(8), "b": busy(8), "c": {InUse: 5, Wanted: 5}}, "a", 10},
+		{"not known what waits", 24, map[string]int{"a": 8, "b": 8, "c": 8}, map[string]Need{"a": {InUse: 8, Wanted: 20}, "c": {InUse: 5, Wanted: 5}}, "", 0},
 		{"no share told of", 24, map[string]int{"a": 8, "b": 16}, map[string]Need{"a": busy(7)}, "", 0},
 	} {
-		if node, share, _ := Gather(c.limit, c.shares, c.needs); node != c.node || share != c.share {
+		if node, share, _ := ConcentrateOn(c.limit, c.shares, c.needs); node != c.node || share != c.share {
 			t.Errorf("%s: %d for %q, want %d for %q", c.name, share, node, c.share, c.node)
 		}
 	}
@@ -132,7 +132,7 @@
 }
 
 type holder struct {
-	Holder
+	Reservations
 	name    string
 	number  uint64
 	used    float64
@@ -155,15 +155,15 @@
 			h := c.nodes[r.IntN(3)]
 			switch r.IntN(5) {
 			case 0: // tasks start as far as the ceiling allows, or end
-				if ceiling := float64(h.Ceiling("t", wire.Share{CPUs: h.seen}).CPUs); r.IntN(2) == 0 {
+				if ceiling := float64(h.Usable("t", wire.Share{CPUs: h.seen}).CPUs); r.IntN(2) == 0 {
 					h.used = max(h.used, math.Floor(ceiling*r.Float64()))
 				} else {
 					h.used = math.Floor(h.used * r.Float64())
 				}
 			case 1: // a promise, sent once, twice or never
 				h.number++
-				ceiling := int(math.Ceil(max(h.used, r.Float64()*float64(h.Ceiling("t", wire.Share{CPUs: h.seen}).CPUs))))
-				h.Promise(h.number, "t", wire.Share{CPUs: ceiling})
+				ceiling := int(math.Ceil(max(h.used, r.Float64()*float64(h.Usable("t", wire.Share{CPUs: h.seen}).CPUs))))
+				h.Reserve(h.number, "t", wire.Share{CPUs: ceiling})
 				for range r.IntN(3) {
 					c.flying = append(c.flying, renewal{h.name, h.number, h.grant, ceiling})
 				}
@@ -181,12 +181,12 @@
 				}
 				needs := map[string]Need{}
 				for _, n := range c.nodes {
-					needs[n.name] = Need{Want: float64(r.IntN(120))}
+					needs[n.name] = Need{Wanted: float64(r.IntN(120))}
 				}
-				c.shares, _ = Raise(c.limit, c.shares, Targets(float64(c.limit), needs), needs)
+				c.shares, _ = GrantFree(c.limit, c.shares, Targets(float64(c.limit), needs), needs)
 			case 3: // a holder sees the value, as a whole
 				h.seen, h.grant = c.shares[h.name], c.grants[h.name]
-				h.Honoured(c.honour[h.name])
+				h.Acknowledge(c.honour[h.name])
 			case 4: // a renewal is lost for good
 				if len(c.flying) > 8 {
 					c.flying = c.flying[1:]
@@ -194,7 +194,7 @@
 			}
 			sum := 0.0
 			for _, n := range c.nodes {
-				sum += max(n.used, float64(n.Ceiling("t", wire.Share{CPUs: n.seen}).CPUs))
+				sum += max(n.used, float64(n.Usable("t", wire.Share{CPUs: n.seen}).CPUs))
 			}
 			if sum > float64(c.limit) {
 				t.Fatalf("seed %d step %d: %v may be used of %d", seed, step, sum, c.limit)
--- a/internal/core/rebuild/golden_test.go
+++ b/internal/core/recovery/golden_test.go
@@ -1,4 +1,4 @@
-package rebuild
+package recovery
 
 import (
 	"testing"
--- a/internal/core/rebuild/rebuild.go
+++ b/internal/core/recovery/recovery.go
@@ -1,4 +1,4 @@
-// Package rebuild decides how a state that has lost data is made whole again from
+// Package recovery decides how a state that has lost data is made whole again from
 // what controllers know: what of it is missing, in which transactions it is
 // stored, and what the lease value is from then on. It reads no clock, sends
 // nothing, and knows of the state service only what it is handed.
@@ -10,7 +10,7 @@
 //   - Terms go on above every one that was seen, with room for those that were
 //     not, and with them grants, tokens and attempts.
 //   - A write of before the loss finds another generation, and changes nothing.
-package rebuild
+package recovery
 
 import (
 	"context"
@@ -32,14 +32,14 @@
 	Rebuilding bool `msgpack:"rebuilding" json:"rebuilding"`
 	// What is known of the loss: the highest revision that the controller which
 	// rebuilt had seen, what it found instead, what it stored again, and when.
-	By       string `msgpack:"by" json:"by"`
-	Lost     uint64 `msgpack:"lost" json:"revision_seen"`
-	Found    uint64 `msgpack:"found" json:"revision_found"`
-	Jobs     int    `msgpack:"jobs" json:"jobs"`
-	Ends     int    `msgpack:"ends" json:"ends"`
-	AtMs     int64  `msgpack:"at_ms" json:"at_ms"`
-	TookMs   int64  `msgpack:"took_ms" json:"took_ms"`
-	Machines int    `msgpack:"machines" json:"machines"`
+	Controller    string `msgpack:"by" json:"by"`
+	RevisionSeen  uint64 `msgpack:"lost" json:"revision_seen"`
+	RevisionFound uint64 `msgpack:"found" json:"revision_found"`
+	Jobs          int    `msgpack:"jobs" json:"jobs"`
+	Ends          int    `msgpack:"ends" json:"ends"`
+	RecoveredAtMs int64  `msgpack:"at_ms" json:"at_ms"`
+	TookMs        int64  `msgpack:"took_ms" json:"took_ms"`
+	Machines      int    `msgpack:"machines" json:"machines"`
 }
 
 // GenerationForm is the newest form of Generation.
@@ -77,21 +77,21 @@
 }
 
 // Memory is what a controller knows.
-type Memory struct {
-	Jobs  map[string]any            // what is to be stored for each job that is not over
-	Ends  map[string]wire.EndRecord // of jobs that are
-	Facts map[string][]byte         // completed tasks, a bit a task, by stretch of a job
+type KnownState struct {
+	Jobs           map[string]any            // what is to be stored for each job that is not over
+	Ends           map[string]wire.EndRecord // of jobs that are
+	CompletedTasks map[string][]byte         // completed tasks, a bit a task, by stretch of a job
 }
 
 // Found is what the state holds.
-type Found struct {
-	Jobs  map[string]uint64 // versions of their records
-	Ends  map[string]End
-	Facts map[string][]byte
+type StoredState struct {
+	Jobs           map[string]uint64 // versions of their records
+	Ends           map[string]StoredEnd
+	CompletedTasks map[string][]byte
 }
 
 // End is the end of a job as the state has it.
-type End struct {
+type StoredEnd struct {
 	State   string
 	Version uint64
 }
@@ -105,7 +105,7 @@
 // Missing returns the transactions that store what is known and not there, those
 // that keep a job from coming back to life first. Each changes nothing if the state
 // is not as it was found.
-func Missing(m *Memory, f *Found, k Keys, lim Limits) (txns []wire.Txn, jobs, ends int, err error) {
+func MissingWrites(m *KnownState, f *StoredState, k Keys, lim Limits) (txns []wire.Txn, jobs, ends int, err error) {
 	b := batch{lim: lim}
 	late := []string{}
 	for _, id := range slices.Sorted(maps.Keys(m.Ends)) {
@@ -148,14 +148,14 @@
 
 // Entries are the completed tasks that are known and not stored, as pages hold
 // them, in groups of about most bytes.
-func Entries(m *Memory, f *Found, most int) []map[string]string {
+func CompletedTaskPages(m *KnownState, f *StoredState, most int) []map[string]string {
 	var out []map[string]string
 	size := 0
-	for _, key := range slices.Sorted(maps.Keys(m.Facts)) {
-		if covers(f.Facts[key], m.Facts[key]) {
+	for _, key := range slices.Sorted(maps.Keys(m.CompletedTasks)) {
+		if covers(f.CompletedTasks[key], m.CompletedTasks[key]) {
 			continue
 		}
-		text := base64.RawStdEncoding.EncodeToString(m.Facts[key])
+		text := base64.RawStdEncoding.EncodeToString(m.CompletedTasks[key])
 		if n := len(key) + len(text) + 12; len(out) == 0 || size+n > most {
 			out, size = append(out, map[string]string{}), 0
 		}
@@ -224,20 +224,20 @@
 // takes seconds, and nobody rebuilds minutes after everybody else.
 const termGap = 256
 
-// TermOf is the term that a token was made in: see package grant, and the grants
+// TermOf is the term that a token was made in: see package blocklease, and the grants
 // of a lease value.
-func TermOf(token uint64) uint64 { return token >> (24 + 16) }
+func TermOfToken(token uint64) uint64 { return token >> (24 + 16) }
 
 // Lease joins lease values, of before the loss and as found, into the one that the
 // state goes on with. Its leader holds all machines that any of them names, as those
 // of holders that ended, all homes and all shares. share is a team's limit.
-func Lease(node string, incarnation, generation uint64, share func(team string) wire.Share, views ...*View) wire.LeaseRecord {
+func MergeLease(node string, incarnation, generation uint64, share func(team string) wire.Share, views ...*View) wire.LeaseRecord {
 	out := wire.LeaseRecord{Leader: node, Incarnation: incarnation, Generation: generation,
 		Partitions: map[string]string{}, Blocks: map[string]wire.Block{}}
 	machines := map[string]bool{}
 	for _, view := range views {
 		v := &view.Lease
-		out.Term, out.Sequence, out.Form = max(out.Term, v.Term, TermOf(view.Token)), max(out.Sequence, v.Sequence), max(out.Form, view.Form)
+		out.Term, out.Sequence, out.Form = max(out.Term, v.Term, TermOfToken(view.Token)), max(out.Sequence, v.Sequence), max(out.Form, view.Form)
 		out.Level, out.Confirmed = max(out.Level, view.Levels[0]), max(out.Confirmed, view.Levels[1])
 		for _, n := range view.Machines {
 			machines[n] = true
--- a/internal/core/rebuild/rebuild_test.go
+++ b/internal/core/recovery/recovery_test.go
@@ -1,4 +1,4 @@
-package rebuild
+package recovery
 
 import (
 	"fmt"
@@ -14,14 +14,14 @@
 // transaction: ends of jobs that have come back to life before anything else, and
 // nothing that is over as a job.
 func TestMissing(t *testing.T) {
-	m := &Memory{Jobs: map[string]any{}, Ends: map[string]wire.EndRecord{"zombie": {State: wire.Done}, "gone": {State: wire.Cancelled}, "known": {State: wire.Done}, "other": {State: wire.Done}}}
+	m := &KnownState{Jobs: map[string]any{}, Ends: map[string]wire.EndRecord{"zombie": {State: wire.Done}, "gone": {State: wire.Cancelled}, "known": {State: wire.Done}, "other": {State: wire.Done}}}
 	for i := range 30 {
 		m.Jobs[fmt.Sprintf("job-%02d", i)] = strings.Repeat("x", 1000)
 	}
 	m.Jobs["known"], m.Jobs["ended elsewhere"] = "old", "old"
-	f := &Found{Jobs: map[string]uint64{"zombie": 7, "job-03": 8}, Ends: map[string]End{
+	f := &StoredState{Jobs: map[string]uint64{"zombie": 7, "job-03": 8}, Ends: map[string]StoredEnd{
 		"known": {wire.Done, 3}, "ended elsewhere": {wire.Done, 4}, "other": {wire.Cancelled, 5}}}
-	txns, jobs, ends, err := Missing(m, f, keys, Limits{Ops: 8, Bytes: 5000})
+	txns, jobs, ends, err := MissingWrites(m, f, keys, Limits{Ops: 8, Bytes: 5000})
 	if err != nil || jobs != 29 || ends != 3 {
 		t.Fatalf("%d jobs, %d ends, %v", jobs, ends, err)
 	}
@@ -51,17 +51,17 @@
 			t.Errorf("%s is stored", key)
 		}
 	}
-	if again, _, _, _ := Missing(&Memory{}, f, keys, Limits{Ops: 8, Bytes: 5000}); len(again) != 0 {
+	if again, _, _, _ := MissingWrites(&KnownState{}, f, keys, Limits{Ops: 8, Bytes: 5000}); len(again) != 0 {
 		t.Errorf("%d transactions for nothing", len(again))
 	}
 }
 
 // TestEntries stores completed tasks that the state does not show, and only those.
 func TestEntries(t *testing.T) {
-	m := &Memory{Facts: map[string][]byte{"a": {1, 2}, "b": {8}, "c": make([]byte, 300)}}
-	m.Facts["c"][299] = 1
-	f := &Found{Facts: map[string][]byte{"a": {3, 2, 1}, "b": {4}}}
-	got := Entries(m, f, 100)
+	m := &KnownState{CompletedTasks: map[string][]byte{"a": {1, 2}, "b": {8}, "c": make([]byte, 300)}}
+	m.CompletedTasks["c"][299] = 1
+	f := &StoredState{CompletedTasks: map[string][]byte{"a": {3, 2, 1}, "b": {4}}}
+	got := CompletedTaskPages(m, f, 100)
 	if len(got) != 2 || got[0]["b"] == "" || got[1]["c"] == "" || got[0]["a"] != "" {
 		t.Errorf("%v", got)
 	}
@@ -86,7 +86,7 @@
 	if err := wire.Decode(raw, &sent); err != nil {
 		t.Fatal(err)
 	}
-	got := Lease("n0", 77, 2, func(string) wire.Share { return wire.Share{CPUs: 30} }, &sent, &b1)
+	got := MergeLease("n0", 77, 2, func(string) wire.Share { return wire.Share{CPUs: 30} }, &sent, &b1)
 	if got.Term <= 12+1 || got.Sequence != 51 || got.Form != 3 || got.Level != 2 || got.Confirmed != 2 || got.Leader != "n0" || got.Generation != 2 {
 		t.Errorf("%+v", got)
 	}
--- a/internal/core/sched/fleet.go
+++ b/internal/core/sched/fleet.go
@@ -9,7 +9,7 @@
 // Demand is a group of like tasks that wait.
 type Demand struct {
 	Rank         int
-	Need         Amount
+	Need         Resources
 	Types        []string // empty: any
 	Zone         string   // empty: any
 	Spot         bool
@@ -17,7 +17,7 @@
 	RunS         float64
 	ProvisionAll bool // nothing of it may be left to machines that become free
 	// Starved work has waited long without any of it being started.
-	Starved bool
+	Overdue bool
 	SlackS  float64 // how long it may still wait and meet an aim
 }
 
@@ -32,15 +32,15 @@
 	Type  string
 	Zone  string
 	Spot  bool
-	Size  Amount
+	Size  Resources
 	Price float64 // per hour
 	BootS float64
 }
 
 // Order asks for machines of one offer.
-type Order struct {
+type ScaleOut struct {
 	Offer
-	Number int
+	Count int
 }
 
 // fill packs waiting tasks into one empty machine and returns how many of
@@ -53,7 +53,7 @@
 		if d.Count == 0 || !d.Allows(o.Type, o.Zone, o.Spot) {
 			continue
 		}
-		n := min(d.Count, d.Need.Times(room))
+		n := min(d.Count, d.Need.Copies(room))
 		if n <= 0 {
 			continue
 		}
@@ -66,10 +66,10 @@
 
 // Merge adds up groups that differ in nothing but their count, so that the
 // choice of machines does not depend on how many controllers asked.
-func Merge(list []Demand) []Demand {
+func MergeDemands(list []Demand) []Demand {
 	type key struct {
 		rank    int
-		need    Amount
+		need    Resources
 		types   string
 		zone    string
 		spot    bool
@@ -79,7 +79,7 @@
 	at := map[key]int{}
 	var out []Demand
 	for _, d := range list {
-		k := key{d.Rank, d.Need, strings.Join(d.Types, "\x00"), d.Zone, d.Spot, d.ProvisionAll, d.Starved}
+		k := key{d.Rank, d.Need, strings.Join(d.Types, "\x00"), d.Zone, d.Spot, d.ProvisionAll, d.Overdue}
 		i, ok := at[k]
 		if !ok {
 			at[k] = len(out)
@@ -98,13 +98,13 @@
 
 // Coarse rounds an amount up, so that jobs of about the same size count as
 // one group.
-func Coarse(a Amount) Amount {
-	return Amount{CPUs: math.Ceil(a.CPUs*2) / 2, Cards: a.Cards, MemoryGB: math.Ceil(a.MemoryGB)}
+func RoundUp(a Resources) Resources {
+	return Resources{CPUs: math.Ceil(a.CPUs*2) / 2, GPUs: a.GPUs, MemoryGB: math.Ceil(a.MemoryGB)}
 }
 
 // Absorb packs waiting tasks into machines that are on their way and returns
 // what is left.
-func Absorb(waiting []Demand, coming []Offer) []Demand {
+func PackInto(waiting []Demand, coming []Offer) []Demand {
 	left := slices.Clone(waiting)
 	for i := range coming {
 		took, _ := fill(&coming[i], left)
@@ -121,10 +121,10 @@
 
 // Rent chooses machines for the waiting tasks, at each step the offer that
 // takes most work for its price. most bounds the number of machines.
-func Rent(left []Demand, offers []Offer, most int) []Order {
+func PlanScaleOut(left []Demand, offers []Offer, most int) []ScaleOut {
 	left = slices.Clone(left)
 	slices.SortStableFunc(left, func(a, b Demand) int { return a.Rank - b.Rank })
-	var orders []Order
+	var orders []ScaleOut
 	number := make([]int, len(offers))
 	for most > 0 {
 		best, bestWorth := -1, 0.0
@@ -154,12 +154,12 @@
 		}
 		most -= times
 		number[best] += times
-		if i := slices.IndexFunc(orders, func(o Order) bool {
+		if i := slices.IndexFunc(orders, func(o ScaleOut) bool {
 			return o.Type == offers[best].Type && o.Zone == offers[best].Zone && o.Spot == offers[best].Spot
 		}); i >= 0 {
-			orders[i].Number += times
+			orders[i].Count += times
 		} else {
-			orders = append(orders, Order{offers[best], times})
+			orders = append(orders, ScaleOut{offers[best], times})
 		}
 	}
 	return orders
--- a/internal/core/sched/preempt.go
+++ b/internal/core/sched/preempt.go
@@ -2,9 +2,9 @@
 
 // Victim is a running task that may be stopped for the sake of another.
 type Victim struct {
-	Index int // the caller's
-	Frees Amount
-	Lost  float64 // seconds of work that would be repeated, times processors
+	Index    int // the caller's
+	Frees    Resources
+	LostWork float64 // seconds of work that would be repeated, times processors
 }
 
 // Evict chooses which of the victims on one machine to stop so that need fits
@@ -12,7 +12,7 @@
 // when that cannot be, or when it would lose more than most. It changes the
 // order of the victims. Most machines are ruled out by their first victims, so
 // these are picked one by one rather than sorted.
-func Evict(need, room Amount, victims []Victim, most float64) (stop []Victim, lost float64) {
+func ChooseVictims(need, room Resources, victims []Victim, most float64) (stop []Victim, lost float64) {
 	n := 0
 	for !need.Fits(room) {
 		if n == len(victims) {
@@ -21,12 +21,12 @@
 		best := n
 		for i := n + 1; i < len(victims); i++ {
 			a, b := &victims[i], &victims[best]
-			if a.Lost < b.Lost || (a.Lost == b.Lost && a.Index < b.Index) {
+			if a.LostWork < b.LostWork || (a.LostWork == b.LostWork && a.Index < b.Index) {
 				best = i
 			}
 		}
 		victims[n], victims[best] = victims[best], victims[n]
-		if lost += victims[n].Lost; lost > most {
+		if lost += victims[n].LostWork; lost > most {
 			return nil, 0
 		}
 		room = room.Add(victims[n].Frees, 1)
--- a/internal/core/sched/sched.go
+++ b/internal/core/sched/sched.go
@@ -5,25 +5,25 @@
 import "math"
 
 // Amount is what a task takes, or a machine has.
-type Amount struct{ CPUs, Cards, MemoryGB float64 }
+type Resources struct{ CPUs, GPUs, MemoryGB float64 }
 
 // slack absorbs rounding when many small amounts are added up.
 const slack = 1e-6
 
 // Add returns a + n·b.
-func (a Amount) Add(b Amount, n float64) Amount {
-	return Amount{a.CPUs + n*b.CPUs, a.Cards + n*b.Cards, a.MemoryGB + n*b.MemoryGB}
+func (a Resources) Add(b Resources, n float64) Resources {
+	return Resources{a.CPUs + n*b.CPUs, a.GPUs + n*b.GPUs, a.MemoryGB + n*b.MemoryGB}
 }
 
 // Fits tells whether a fits into room.
-func (a Amount) Fits(room Amount) bool {
-	return a.CPUs <= room.CPUs+slack && a.Cards <= room.Cards+slack && a.MemoryGB <= room.MemoryGB+slack
+func (a Resources) Fits(room Resources) bool {
+	return a.CPUs <= room.CPUs+slack && a.GPUs <= room.GPUs+slack && a.MemoryGB <= room.MemoryGB+slack
 }
 
 // Times tells how often a fits into room.
-func (a Amount) Times(room Amount) int {
+func (a Resources) Copies(room Resources) int {
 	n := math.MaxInt32
-	for _, p := range [][2]float64{{a.CPUs, room.CPUs}, {a.Cards, room.Cards}, {a.MemoryGB, room.MemoryGB}} {
+	for _, p := range [][2]float64{{a.CPUs, room.CPUs}, {a.GPUs, room.GPUs}, {a.MemoryGB, room.MemoryGB}} {
 		if p[0] > 0 {
 			n = min(n, int(math.Max(0, (p[1]+slack)/p[0])))
 		}
@@ -83,25 +83,25 @@
 }
 
 // Limit is a team's limit; 0 means none.
-type Limit struct{ CPUs, Cards float64 }
+type Limit struct{ CPUs, GPUs float64 }
 
 // Any tells whether there is a limit at all.
-func (l Limit) Any() bool { return l.CPUs > 0 || l.Cards > 0 }
+func (l Limit) Any() bool { return l.CPUs > 0 || l.GPUs > 0 }
 
 // Allows tells whether a team that uses used may take more.
-func (l Limit) Allows(used, more Amount) bool {
+func (l Limit) Allows(used, more Resources) bool {
 	if l.CPUs > 0 && used.CPUs+more.CPUs > l.CPUs+slack {
 		return false
 	}
-	return l.Cards <= 0 || used.Cards+more.Cards <= l.Cards+slack
+	return l.GPUs <= 0 || used.GPUs+more.GPUs <= l.GPUs+slack
 }
 
 // Place is a machine as the choice of a place sees it.
-type Place struct {
-	Free   Amount
-	Size   Amount
-	FetchS float64 // until the task's image is there
-	Dear   float64 // price of a processor, as a multiple of the cheapest
+type Candidate struct {
+	Free          Resources
+	Size          Resources
+	ImageFetchS   float64 // until the task's image is there
+	RelativePrice float64 // price of a processor, as a multiple of the cheapest
 }
 
 const (
@@ -120,12 +120,12 @@
 
 // Cost rates a place for a task that takes need: lower is better. For urgent
 // tasks the price hardly counts.
-func Cost(need Amount, p Place, urgent bool) float64 {
+func Cost(need Resources, p Candidate, urgent bool) float64 {
 	left, dear := leftS, dearS
 	if urgent {
 		left, dear = leftUrgentS, dearUrgentS
 	}
-	cost := p.FetchS + dear*(p.Dear-1)
+	cost := p.ImageFetchS + dear*(p.RelativePrice-1)
 	if p.Size.CPUs > 0 {
 		cost += left * (p.Free.CPUs - need.CPUs) / p.Size.CPUs
 	}
--- a/internal/core/served/report.go
+++ b/internal/core/servicereport/report.go
@@ -1,4 +1,4 @@
-package served
+package servicereport
 
 import (
 	"bufio"
@@ -15,14 +15,14 @@
 
 // What a log is refused for.
 var (
-	ErrEmpty   = errors.New("empty log")
-	ErrForeign = errors.New("not the log of a controller from its start")
-	ErrCutOff  = errors.New("log ends within a line")
-	ErrSilent  = errors.New("log says nothing of what was served: LOG_LEVEL has to be info or debug")
+	ErrEmpty            = errors.New("empty log")
+	ErrNotControllerLog = errors.New("not the log of a controller from its start")
+	ErrTruncated        = errors.New("log ends within a line")
+	ErrNoCounts         = errors.New("log says nothing of what was served: LOG_LEVEL has to be info or debug")
 )
 
 // Sum adds up logs.
-type Sum struct {
+type Summary struct {
 	groups map[Group]*Counts
 	sizes  map[Group]map[int]*Counts
 	oldest map[Group]time.Duration
@@ -31,7 +31,7 @@
 // Add reads one controller's log, from the start of its process on. It returns
 // one of the errors above, or what is wrong with a line, and then has added
 // nothing.
-func (s *Sum) Add(r io.Reader) error {
+func (s *Summary) Add(r io.Reader) error {
 	text, err := io.ReadAll(r)
 	switch {
 	case err != nil:
@@ -39,7 +39,7 @@
 	case len(bytes.TrimSpace(text)) == 0:
 		return ErrEmpty
 	case text[len(text)-1] != '\n':
-		return ErrCutOff
+		return ErrTruncated
 	}
 	began, said := false, false
 	var lines []map[string]string
@@ -56,19 +56,19 @@
 		case kv["msg"] == "serving" && kv["node"] != "":
 			began = true
 		case !began:
-			return ErrForeign
-		case kv["msg"] == Message:
+			return ErrNotControllerLog
+		case kv["msg"] == LogMessage:
 			said = true
 			lines = append(lines, kv)
 		}
 	}
 	switch {
 	case !began:
-		return ErrForeign
+		return ErrNotControllerLog
 	case !said:
-		return ErrSilent
+		return ErrNoCounts
 	}
-	var one Sum
+	var one Summary
 	for _, kv := range lines {
 		if err := one.line(kv); err != nil {
 			return err
@@ -79,7 +79,7 @@
 }
 
 // line adds one line.
-func (s *Sum) line(kv map[string]string) error {
+func (s *Summary) line(kv map[string]string) error {
 	g := Group{Team, kv[Team]}
 	if g.Name == "" {
 		g = Group{Class, kv[Class]}
@@ -88,8 +88,8 @@
 		return errors.New("a line of what was served names neither team nor class")
 	}
 	var c Counts
-	for name, to := range map[string]*int{"came": &c.Came, "accepted": &c.Accepted, "begun": &c.Begun, "late": &c.Late,
-		"ended": &c.Ended, "cancelled": &c.Cancelled, "unbegun": &c.Unbegun} {
+	for name, to := range map[string]*int{"came": &c.Submitted, "accepted": &c.Accepted, "begun": &c.Started, "late": &c.StartedLate,
+		"ended": &c.Ended, "cancelled": &c.Cancelled, "unbegun": &c.CancelledUnstarted} {
 		n, err := strconv.Atoi(kv[name])
 		if err != nil {
 			return fmt.Errorf("%s of %s %s: %w", name, g.Kind, g.Name, err)
@@ -100,7 +100,7 @@
 	if err != nil {
 		return fmt.Errorf("oldest of %s %s: %w", g.Kind, g.Name, err)
 	}
-	one := Sum{groups: map[Group]*Counts{g: &c}, oldest: map[Group]time.Duration{g: oldest}}
+	one := Summary{groups: map[Group]*Counts{g: &c}, oldest: map[Group]time.Duration{g: oldest}}
 	if text := kv["sizes"]; text != "" {
 		sizes, err := parseSizes(text)
 		if err != nil {
@@ -115,7 +115,7 @@
 	return nil
 }
 
-func (s *Sum) merge(d *Sum) {
+func (s *Summary) merge(d *Summary) {
 	if s.groups == nil {
 		s.groups, s.sizes, s.oldest = map[Group]*Counts{}, map[Group]map[int]*Counts{}, map[Group]time.Duration{}
 	}
@@ -152,7 +152,7 @@
 }
 
 // Rows lists all groups, teams first.
-func (s *Sum) Rows() []Row {
+func (s *Summary) Rows() []Row {
 	var out []Row
 	for _, g := range slices.SortedFunc(maps.Keys(s.groups), func(a, b Group) int { return -a.compare(b) }) {
 		c := *s.groups[g]
@@ -162,11 +162,11 @@
 		}
 		if len(s.sizes[g]) > 0 {
 			top := s.largest(g)
-			row.Largest, row.LargestShare, row.LargestLate = top.Accepted, share(top), top.Late
+			row.Largest, row.LargestShare, row.LargestLate = top.Accepted, share(top), top.StartedLate
 			switch {
 			case row.LargestShare < 0.5:
 				row.Failed = "less than half of the largest was served"
-			case top.Late > 0:
+			case top.StartedLate > 0:
 				row.Failed = "one of the largest began late"
 			}
 		}
@@ -177,14 +177,14 @@
 
 // share is the part of the jobs that began, of those that were to.
 func share(c Counts) float64 {
-	if due := c.Accepted - c.Unbegun; due > 0 {
-		return min(1, float64(c.Begun)/float64(due))
+	if due := c.Accepted - c.CancelledUnstarted; due > 0 {
+		return min(1, float64(c.Started)/float64(due))
 	}
 	return 1
 }
 
 // largest sums the buckets from above until they hold a tenth of the class.
-func (s *Sum) largest(g Group) Counts {
+func (s *Summary) largest(g Group) Counts {
 	var top Counts
 	buckets := slices.Sorted(maps.Keys(s.sizes[g]))
 	slices.Reverse(buckets)
--- a/internal/core/served/served.go
+++ b/internal/core/servicereport/servicereport.go
@@ -1,11 +1,11 @@
-// Package served counts what becomes of jobs, by team, by class and by size
+// Package servicereport counts what becomes of jobs, by team, by class and by size
 // within a class, and adds up what controllers have logged of it.
 //
 // A controller counts what it does itself: submissions it stores, jobs of which
 // it starts the first task, ends it stores. So the sums over the logs of all
 // controllers are those of the cluster. What a process has not logged when it is
 // killed, up to Every, is lost to the sums.
-package served
+package servicereport
 
 import (
 	"cmp"
@@ -23,9 +23,9 @@
 
 const (
 	// Every is how often a controller logs its counts.
-	Every = time.Minute
+	LogInterval = time.Minute
 	// Message is the message of such a line.
-	Message = "served"
+	LogMessage = "served"
 	// LateAfter is how long users expect even the largest jobs to wait at most
 	// until they begin.
 	LateAfter = 4 * time.Minute
@@ -33,29 +33,29 @@
 
 // Counts are what became of a group of jobs.
 type Counts struct {
-	Came      int `json:"came"`      // valid submissions, repeats included
-	Accepted  int `json:"accepted"`  // records stored
-	Begun     int `json:"begun"`     // a first task started
-	Late      int `json:"late"`      // the same, after more than LateAfter
-	Ended     int `json:"ended"`     // done or cancelled
-	Cancelled int `json:"cancelled"` // by their users
-	Unbegun   int `json:"unbegun"`   // cancelled before a first task started
+	Submitted          int `json:"came"`      // valid submissions, repeats included
+	Accepted           int `json:"accepted"`  // records stored
+	Started            int `json:"begun"`     // a first task started
+	StartedLate        int `json:"late"`      // the same, after more than LateAfter
+	Ended              int `json:"ended"`     // done or cancelled
+	Cancelled          int `json:"cancelled"` // by their users
+	CancelledUnstarted int `json:"unbegun"`   // cancelled before a first task started
 }
 
 func (c *Counts) add(d Counts) {
-	c.Came += d.Came
+	c.Submitted += d.Submitted
 	c.Accepted += d.Accepted
-	c.Begun += d.Begun
-	c.Late += d.Late
+	c.Started += d.Started
+	c.StartedLate += d.StartedLate
 	c.Ended += d.Ended
 	c.Cancelled += d.Cancelled
-	c.Unbegun += d.Unbegun
+	c.CancelledUnstarted += d.CancelledUnstarted
 }
 
 // Waiting is what waits at a moment.
 type Waiting struct {
-	Jobs   int           // with tasks that wait
-	Oldest time.Duration // longest wait of one that has not begun
+	Jobs        int           // with tasks that wait
+	LongestWait time.Duration // longest wait of one that has not begun
 }
 
 // Group names what is counted together: a team, or a class.
@@ -99,17 +99,17 @@
 }
 
 // Came counts a valid submission of a job that is not known yet.
-func (t *Tally) Came(j *wire.Job) { t.each(j, func(c *Counts) { c.Came++ }) }
+func (t *Tally) Submitted(j *wire.Job) { t.each(j, func(c *Counts) { c.Submitted++ }) }
 
 // Accepted counts a job whose record is stored.
 func (t *Tally) Accepted(j *wire.Job) { t.each(j, func(c *Counts) { c.Accepted++ }) }
 
 // Begun counts a job whose first task is started after a wait.
-func (t *Tally) Begun(j *wire.Job, wait time.Duration) {
+func (t *Tally) Started(j *wire.Job, wait time.Duration) {
 	t.each(j, func(c *Counts) {
-		c.Begun++
+		c.Started++
 		if wait > LateAfter {
-			c.Late++
+			c.StartedLate++
 		}
 	})
 }
@@ -121,7 +121,7 @@
 		if cancelled {
 			c.Cancelled++
 			if !begun {
-				c.Unbegun++
+				c.CancelledUnstarted++
 			}
 		}
 	})
@@ -131,12 +131,12 @@
 // is asked only then.
 func (t *Tally) Log(now time.Time, log *slog.Logger, waiting func() map[Group]Waiting) {
 	if t.next.IsZero() {
-		t.next = now.Add(Every)
+		t.next = now.Add(LogInterval)
 	}
 	if now.Before(t.next) {
 		return
 	}
-	t.next = now.Add(Every)
+	t.next = now.Add(LogInterval)
 	waits := waiting()
 	groups := map[Group]bool{}
 	for g := range t.groups {
@@ -151,13 +151,13 @@
 			c = *t.groups[g]
 		}
 		w := waits[g]
-		args := []any{g.Kind, g.Name, "came", c.Came, "accepted", c.Accepted, "begun", c.Begun, "late", c.Late,
-			"ended", c.Ended, "cancelled", c.Cancelled, "unbegun", c.Unbegun,
-			"waits", w.Jobs, "oldest", w.Oldest.Round(time.Second)}
+		args := []any{g.Kind, g.Name, "came", c.Submitted, "accepted", c.Accepted, "begun", c.Started, "late", c.StartedLate,
+			"ended", c.Ended, "cancelled", c.Cancelled, "unbegun", c.CancelledUnstarted,
+			"waits", w.Jobs, "oldest", w.LongestWait.Round(time.Second)}
 		if len(t.sizes[g]) > 0 {
 			args = append(args, "sizes", formatSizes(t.sizes[g]))
 		}
-		log.Info(Message, args...)
+		log.Info(LogMessage, args...)
 	}
 	t.groups, t.sizes = nil, nil
 }
@@ -172,7 +172,7 @@
 	var parts []string
 	for _, b := range slices.Sorted(maps.Keys(sizes)) {
 		c := sizes[b]
-		parts = append(parts, fmt.Sprintf("%d:%d/%d/%d/%d", b, c.Accepted, c.Begun, c.Late, c.Unbegun))
+		parts = append(parts, fmt.Sprintf("%d:%d/%d/%d/%d", b, c.Accepted, c.Started, c.StartedLate, c.CancelledUnstarted))
 	}
 	return strings.Join(parts, ",")
 }
@@ -182,7 +182,7 @@
 	for part := range strings.SplitSeq(text, ",") {
 		var b int
 		var c Counts
-		if _, err := fmt.Sscanf(part, "%d:%d/%d/%d/%d", &b, &c.Accepted, &c.Begun, &c.Late, &c.Unbegun); err != nil {
+		if _, err := fmt.Sscanf(part, "%d:%d/%d/%d/%d", &b, &c.Accepted, &c.Started, &c.StartedLate, &c.CancelledUnstarted); err != nil {
 			return nil, fmt.Errorf("sizes %s: %w", strconv.Quote(text), err)
 		}
 		out[b] = c
--- a/internal/core/served/served_test.go
+++ b/internal/core/servicereport/servicereport_test.go
@@ -1,4 +1,4 @@
-package served
+package servicereport
 
 import (
 	"bytes"
@@ -25,26 +25,26 @@
 		log.Info("serving", "node", fmt.Sprintf("n%d", n))
 		var tally Tally
 		waits := func() map[Group]Waiting {
-			return map[Group]Waiting{{Class, "wide one"}: {Jobs: 1, Oldest: 70 * time.Second}}
+			return map[Group]Waiting{{Class, "wide one"}: {Jobs: 1, LongestWait: 70 * time.Second}}
 		}
 		tally.Log(now, log, waits)
 		for i := range 20 {
 			small := job("red", "small", 1+i%3)
-			tally.Came(small)
+			tally.Submitted(small)
 			tally.Accepted(small)
 			if n == 0 || i < 4 {
-				tally.Begun(small, time.Second)
+				tally.Started(small, time.Second)
 			}
 			tally.Ended(small, i == 19, n == 0)
 		}
 		for i := range 10 { // all of them large; one of the largest is late
 			wide := job("blue", "wide one", 60+10*i)
 			tally.Accepted(wide)
-			tally.Begun(wide, time.Duration(100+16*i)*time.Second)
+			tally.Started(wide, time.Duration(100+16*i)*time.Second)
 		}
-		tally.Log(now.Add(Every), log, waits)
+		tally.Log(now.Add(LogInterval), log, waits)
 	}
-	var s Sum
+	var s Summary
 	for n := range logs {
 		if err := s.Add(&logs[n]); err != nil {
 			t.Fatal(err)
@@ -57,7 +57,7 @@
 		}
 		switch r.Name {
 		case "small":
-			if r.Accepted != 40 || r.Begun != 24 || r.Unbegun != 1 || r.Cancelled != 2 || r.Share < 0.61 || r.Share > 0.62 {
+			if r.Accepted != 40 || r.Started != 24 || r.CancelledUnstarted != 1 || r.Cancelled != 2 || r.Share < 0.61 || r.Share > 0.62 {
 				t.Errorf("%+v", r)
 			}
 		case "wide one":
@@ -66,7 +66,7 @@
 			}
 		}
 	}
-	var half Sum
+	var half Summary
 	err := half.Add(strings.NewReader("time=1 level=INFO msg=serving node=n0\n" +
 		`time=2 level=INFO msg=served class=a came=9 accepted=9 begun=4 late=0 ended=4 cancelled=0 unbegun=0 waits=5 oldest=1m0s sizes=1:9/4/0/0` + "\n"))
 	if r := half.Rows(); err != nil || r[0].Failed == "" {
@@ -81,13 +81,13 @@
 	for text, want := range map[string]error{
 		"":                                      ErrEmpty,
 		" \n":                                   ErrEmpty,
-		"listening on :80\n":                    ErrForeign,
-		"time=1 level=INFO msg=usage\n" + began: ErrForeign,
-		began:                                   ErrSilent,
-		began + "time=2 level=INFO msg=served class=a came=1 acc": ErrCutOff,
+		"listening on :80\n":                    ErrNotControllerLog,
+		"time=1 level=INFO msg=usage\n" + began: ErrNotControllerLog,
+		began:                                   ErrNoCounts,
+		began + "time=2 level=INFO msg=served class=a came=1 acc": ErrTruncated,
 		began + "time=2 level=INFO msg=served class=a came=x\n":   errors.ErrUnsupported, // any other
 	} {
-		var s Sum
+		var s Summary
 		err := s.Add(strings.NewReader(text))
 		if err == nil || (want != errors.ErrUnsupported && !errors.Is(err, want)) {
 			t.Errorf("%q: %v, want %v", text, err, want)
--- a/internal/edge/httpapi/httpapi.go
+++ b/internal/edge/httpapi/httpapi.go
@@ -8,13 +8,13 @@
 	"strconv"
 	"time"
 
-	"fawncove/internal/core/step"
+	"fawncove/internal/core/eventloop"
 	"fawncove/internal/wire"
 )
 
 // Backend answers requests.
 type Backend interface {
-	Ask(ctx context.Context, event func(req uint64) step.Event) (step.Reply, error)
+	Ask(ctx context.Context, event func(req uint64) eventloop.Event) (eventloop.Reply, error)
 	Healthy() bool
 }
 
@@ -40,18 +40,18 @@
 			return
 		}
 		job, err := wire.ParseJob(body)
-		serve(w, r, b, answerWithin, func(req uint64) step.Event { return step.SubmitIn{Req: req, Job: job, Err: err} })
+		serve(w, r, b, answerWithin, func(req uint64) eventloop.Event { return eventloop.SubmitRequest{Req: req, Job: job, Err: err} })
 	})
 	mux.HandleFunc("GET /v1/jobs/{id}", func(w http.ResponseWriter, r *http.Request) {
 		id := r.PathValue("id")
-		serve(w, r, b, pollWithin, func(req uint64) step.Event { return step.PollIn{Req: req, ID: id} })
+		serve(w, r, b, pollWithin, func(req uint64) eventloop.Event { return eventloop.QueryRequest{Req: req, ID: id} })
 	})
 	mux.HandleFunc("POST /v1/jobs/{id}/cancel", func(w http.ResponseWriter, r *http.Request) {
 		if _, ok := read(w, r); !ok {
 			return
 		}
 		id := r.PathValue("id")
-		serve(w, r, b, answerWithin, func(req uint64) step.Event { return step.CancelIn{Req: req, ID: id} })
+		serve(w, r, b, answerWithin, func(req uint64) eventloop.Event { return eventloop.CancelRequest{Req: req, ID: id} })
 	})
 	mux.HandleFunc("POST /checkin", func(w http.ResponseWriter, r *http.Request) {
 		body, ok := read(w, r)
@@ -60,10 +60,10 @@
 		}
 		var rep wire.Heartbeat
 		if err := wire.Decode(body, &rep); err != nil {
-			write(w, step.Reply{Status: 400, Body: wire.ErrorAnswer{Error: "malformed report"}})
+			write(w, eventloop.Reply{Status: 400, Body: wire.ErrorAnswer{Error: "malformed report"}})
 			return
 		}
-		serve(w, r, b, answerWithin, func(req uint64) step.Event { return step.ReportIn{Req: req, Report: rep} })
+		serve(w, r, b, answerWithin, func(req uint64) eventloop.Event { return eventloop.HeartbeatRequest{Req: req, Heartbeat: rep} })
 	})
 	return mux
 }
@@ -75,25 +75,25 @@
 		return body, true
 	}
 	// Too large is malformed as well: on any other status users would try again.
-	write(w, step.Reply{Status: http.StatusBadRequest, Body: wire.ErrorAnswer{Error: "body too large or cut short"}})
+	write(w, eventloop.Reply{Status: http.StatusBadRequest, Body: wire.ErrorAnswer{Error: "body too large or cut short"}})
 	return nil, false
 }
 
 // serve passes a request to the core and writes its reply, or that there is none
 // within the time given.
-func serve(w http.ResponseWriter, r *http.Request, b Backend, within time.Duration, event func(req uint64) step.Event) {
+func serve(w http.ResponseWriter, r *http.Request, b Backend, within time.Duration, event func(req uint64) eventloop.Event) {
 	ctx, cancel := context.WithTimeout(r.Context(), within)
 	defer cancel()
 	reply, err := b.Ask(ctx, event)
 	// The right to give this answer is checked when it is written, not when
 	// it was decided: a busy machine may have been in between.
 	if err != nil || (!reply.Until.IsZero() && !time.Now().Before(reply.Until)) {
-		reply = step.Reply{Status: 503, Body: wire.ErrorAnswer{Error: "not now"}, RetryAfter: 1}
+		reply = eventloop.Reply{Status: 503, Body: wire.ErrorAnswer{Error: "not now"}, RetryAfter: 1}
 	}
 	write(w, reply)
 }
 
-func write(w http.ResponseWriter, reply step.Reply) {
+func write(w http.ResponseWriter, reply eventloop.Reply) {
 	body, err := wire.Encode(reply.Body)
 	if err != nil {
 		w.WriteHeader(http.StatusInternalServerError)
--- a/internal/edge/httpapi/httpapi_test.go
+++ b/internal/edge/httpapi/httpapi_test.go
@@ -10,18 +10,18 @@
 	"testing"
 	"time"
 
-	"fawncove/internal/core/step"
+	"fawncove/internal/core/eventloop"
 	"fawncove/internal/wire"
 )
 
 // backend replies with what a test sets.
 type backend struct {
-	reply   step.Reply
+	reply   eventloop.Reply
 	healthy bool
-	got     step.Event
+	got     eventloop.Event
 }
 
-func (b *backend) Ask(_ context.Context, event func(uint64) step.Event) (step.Reply, error) {
+func (b *backend) Ask(_ context.Context, event func(uint64) eventloop.Event) (eventloop.Reply, error) {
 	b.got = event(1)
 	return b.reply, nil
 }
@@ -48,7 +48,7 @@
 
 // TestRoutes speaks to the handler over a loopback socket.
 func TestRoutes(t *testing.T) {
-	b := &backend{reply: step.Reply{Status: 200, Body: wire.JobAnswer{ID: "wk-000001", State: wire.Pending}}}
+	b := &backend{reply: eventloop.Reply{Status: 200, Body: wire.JobAnswer{ID: "wk-000001", State: wire.Pending}}}
 	s := httptest.NewServer(New(b))
 	defer s.Close()
 	for _, c := range []struct {
@@ -79,7 +79,7 @@
 // TestLateAnswer expects 503 for an answer whose right has ended before it
 // could be written.
 func TestLateAnswer(t *testing.T) {
-	b := &backend{reply: step.Reply{Status: 200, Body: wire.HeartbeatAnswer{Token: 5}, Until: time.Now().Add(-time.Millisecond)}}
+	b := &backend{reply: eventloop.Reply{Status: 200, Body: wire.HeartbeatAnswer{Token: 5}, Until: time.Now().Add(-time.Millisecond)}}
 	s := httptest.NewServer(New(b))
 	defer s.Close()
 	body, err := wire.Encode(wire.Heartbeat{Machine: "host-000001", AgentEpoch: 1, Sequence: 1})
@@ -90,7 +90,7 @@
 	if status != 503 || h.Get("Retry-After") == "" {
 		t.Errorf("status %d, Retry-After %q", status, h.Get("Retry-After"))
 	}
-	if r, ok := b.got.(step.ReportIn); !ok || r.Report.Machine != "host-000001" {
+	if r, ok := b.got.(eventloop.HeartbeatRequest); !ok || r.Heartbeat.Machine != "host-000001" {
 		t.Errorf("the core got %+v", b.got)
 	}
 	b.reply.Until = time.Now().Add(time.Hour)
@@ -104,10 +104,10 @@
 // silent answers nobody.
 type silent struct{ within time.Duration }
 
-func (b *silent) Ask(ctx context.Context, _ func(uint64) step.Event) (step.Reply, error) {
+func (b *silent) Ask(ctx context.Context, _ func(uint64) eventloop.Event) (eventloop.Reply, error) {
 	end, _ := ctx.Deadline()
 	b.within = time.Until(end)
-	return step.Reply{}, context.DeadlineExceeded
+	return eventloop.Reply{}, context.DeadlineExceeded
 }
 
 func (b *silent) Healthy() bool { return true }
--- a/internal/edge/node/node.go
+++ b/internal/edge/node/node.go
@@ -10,8 +10,8 @@
 	"time"
 
 	"fawncove/internal/core/controller"
+	"fawncove/internal/core/eventloop"
 	"fawncove/internal/core/owner"
-	"fawncove/internal/core/step"
 	"fawncove/internal/edge/client"
 	"fawncove/internal/edge/cloud"
 	"fawncove/internal/edge/peer"
@@ -32,9 +32,9 @@
 	cloud   *cloud.Cloud
 	workers *client.Client
 	links   map[string]*peer.Link
-	events  chan step.Event
+	events  chan eventloop.Event
 	asks    chan ask
-	pending map[uint64]chan step.Reply
+	pending map[uint64]chan eventloop.Reply
 	nextReq uint64
 	usage   usage
 	sockets Sockets
@@ -43,8 +43,8 @@
 }
 
 type ask struct {
-	event func(req uint64) step.Event
-	reply chan step.Reply
+	event func(req uint64) eventloop.Event
+	reply chan eventloop.Reply
 }
 
 // New returns a node for a core and its edges. It keeps at most idle direct
@@ -53,9 +53,9 @@
 func New(core *controller.Core, log *slog.Logger, store *statestore.Store, cl *cloud.Cloud, links map[string]*peer.Link, idle int) *Node {
 	return &Node{core: core, log: log, store: store, cloud: cl, links: links,
 		workers: client.New(2, 1<<20, idle),
-		events:  make(chan step.Event, 256),
+		events:  make(chan eventloop.Event, 256),
 		asks:    make(chan ask, 256),
-		pending: map[uint64]chan step.Reply{},
+		pending: map[uint64]chan eventloop.Reply{},
 	}
 }
 
@@ -65,7 +65,7 @@
 // Leave gives up all that this controller holds, and returns when others have
 // it, or when ctx ends.
 func (n *Node) Leave(ctx context.Context) error {
-	n.events <- step.Leave{}
+	n.events <- eventloop.Shutdown{}
 	tick := time.NewTicker(tickEvery)
 	defer tick.Stop()
 	for !n.left.Load() {
@@ -82,29 +82,29 @@
 func (n *Node) Sockets() *Sockets { return &n.sockets }
 
 // Ask hands a request to the core and waits for its reply.
-func (n *Node) Ask(ctx context.Context, event func(req uint64) step.Event) (step.Reply, error) {
-	a := ask{event, make(chan step.Reply, 1)}
+func (n *Node) Ask(ctx context.Context, event func(req uint64) eventloop.Event) (eventloop.Reply, error) {
+	a := ask{event, make(chan eventloop.Reply, 1)}
 	select {
 	case n.asks <- a:
 	case <-ctx.Done():
-		return step.Reply{}, ctx.Err()
+		return eventloop.Reply{}, ctx.Err()
 	}
 	select {
 	case r := <-a.reply:
 		return r, nil
 	case <-ctx.Done():
-		return step.Reply{}, ctx.Err()
+		return eventloop.Reply{}, ctx.Err()
 	}
 }
 
 // Peer hands a frame from another controller to the core.
-func (n *Node) Peer(f *peerpb.Frame) { n.events <- step.PeerIn{Frame: f} }
+func (n *Node) Peer(f *peerpb.Frame) { n.events <- eventloop.PeerFrame{Frame: f} }
 
 // Run owns the core until ctx ends.
 func (n *Node) Run(ctx context.Context) {
 	tick := time.NewTicker(tickEvery)
 	defer tick.Stop()
-	n.step(ctx, step.Tick{})
+	n.step(ctx, eventloop.Tick{})
 	for {
 		select {
 		case <-ctx.Done():
@@ -116,12 +116,12 @@
 			n.pending[n.nextReq] = a.reply
 			n.step(ctx, a.event(n.nextReq))
 		case <-tick.C:
-			n.step(ctx, step.Tick{})
+			n.step(ctx, eventloop.Tick{})
 		}
 	}
 }
 
-func (n *Node) step(ctx context.Context, ev step.Event) {
+func (n *Node) step(ctx context.Context, ev eventloop.Event) {
 	now := time.Now()
 	n.usage.event(now)
 	for _, e := range n.core.Step(now, ev) {
@@ -130,13 +130,13 @@
 	}
 	n.logUsage(now)
 	n.healthy.Store(n.core.Healthy())
-	n.left.Store(n.core.Left())
+	n.left.Store(n.core.HandedOver())
 }
 
 // carryOut does what the core asks for; whatever waits runs on the side and
 // comes back as an event.
-func (n *Node) carryOut(ctx context.Context, e step.Effect) {
-	back := func(f func() step.Completed) {
+func (n *Node) carryOut(ctx context.Context, e eventloop.Effect) {
+	back := func(f func() eventloop.Completion) {
 		go func() {
 			done := f()
 			select {
@@ -146,75 +146,75 @@
 		}()
 	}
 	switch e := e.(type) {
-	case step.Reply:
+	case eventloop.Reply:
 		if ch := n.pending[e.Req]; ch != nil {
 			delete(n.pending, e.Req)
 			ch <- e
 		}
-	case step.PeerSend:
+	case eventloop.PeerSend:
 		if l := n.links[e.To]; l != nil {
 			l.Send(e.Frame)
 		}
-	case step.StateTxn:
-		back(func() step.Completed {
-			status, a, err := n.store.Txn(ctx, e.Txn, e.Control)
+	case eventloop.StateTxn:
+		back(func() eventloop.Completion {
+			status, a, err := n.store.Txn(ctx, e.Txn, e.LeaseBudget)
 			n.note("txn", status, err)
-			return step.Completed{ID: e.ID, State: true, Status: status, Txn: a}
+			return eventloop.Completion{ID: e.ID, FromStateService: true, Status: status, Txn: a}
 		})
-	case step.StateGet:
-		back(func() step.Completed {
+	case eventloop.StateGet:
+		back(func() eventloop.Completion {
 			status, p, err := n.store.Get(ctx, e.Key)
 			n.note("get", status, err)
-			return step.Completed{ID: e.ID, State: true, Status: status, Pair: p}
+			return eventloop.Completion{ID: e.ID, FromStateService: true, Status: status, Pair: p}
 		})
-	case step.StateRange:
-		back(func() step.Completed {
+	case eventloop.StateRange:
+		back(func() eventloop.Completion {
 			status, p, err := n.store.Range(ctx, e.Prefix, e.After, 500)
 			n.note("range", status, err)
-			return step.Completed{ID: e.ID, State: true, Status: status, Page: p}
+			return eventloop.Completion{ID: e.ID, FromStateService: true, Status: status, Page: p}
 		})
-	case step.StateWatch:
-		back(func() step.Completed {
+	case eventloop.StateWatch:
+		back(func() eventloop.Completion {
 			status, w, err := n.store.Watch(ctx, e.Prefix, e.After, e.Hold)
 			n.note("watch", status, err)
-			return step.Completed{ID: e.ID, State: true, Status: status, Watch: w}
+			return eventloop.Completion{ID: e.ID, FromStateService: true, Status: status, Changes: w}
 		})
-	case step.CloudTypes:
-		back(func() step.Completed {
+	case eventloop.CloudTypes:
+		back(func() eventloop.Completion {
 			status, t, err := n.cloud.Types(ctx)
 			n.note("machine types", status, err)
-			return step.Completed{ID: e.ID, Status: status, Types: t}
+			return eventloop.Completion{ID: e.ID, Status: status, Types: t}
 		})
-	case step.CloudRent:
-		back(func() step.Completed {
-			status, names, err := n.cloud.Rent(ctx, e.Rent)
+	case eventloop.CloudCreate:
+		back(func() eventloop.Completion {
+			status, names, err := n.cloud.Rent(ctx, e.Request)
 			n.note("rent", status, err)
-			return step.Completed{ID: e.ID, Status: status, Names: names.Machines}
+			return eventloop.Completion{ID: e.ID, Status: status, Names: names.Machines}
 		})
-	case step.CloudRelease:
-		back(func() step.Completed {
+	case eventloop.CloudDelete:
+		back(func() eventloop.Completion {
 			status, err := n.cloud.Release(ctx, e.Names)
 			n.note("release", status, err)
-			return step.Completed{ID: e.ID, Status: status}
+			return eventloop.Completion{ID: e.ID, Status: status}
 		})
-	case step.CloudList:
-		back(func() step.Completed {
+	case eventloop.CloudList:
+		back(func() eventloop.Completion {
 			status, l, err := n.cloud.List(ctx, e.After)
 			n.note("list", status, err)
-			return step.Completed{ID: e.ID, Status: status, List: l}
+			return eventloop.Completion{ID: e.ID, Status: status, Machines: l}
 		})
-	case step.Direct:
-		back(func() step.Completed {
+	case eventloop.WorkerCommands:
+		back(func() eventloop.Completion {
 			// The right is checked again at the last moment.
 			if !time.Now().Before(e.Until) {
-				return step.Completed{ID: e.ID, Status: statestore.NotSent}
+				return eventloop.Completion{ID: e.ID, Status: statestore.NotSent}
 			}
 			ctx, cancel := context.WithTimeout(ctx, owner.DirectTimeout)
 			defer cancel()
 			var r wire.Heartbeat
 			status, err := n.workers.Do(ctx, "POST", "http://"+e.Endpoint+"/commands", e.Body, &r, 200, 409)
 			n.note("commands", status, err)
-			return step.Completed{ID: e.ID, Status: status, Report: &r}
+			return eventloop.Completion{ID: e.ID, Status: status, Heartbeat: &r}
 		})
 	}
 }
--- a/internal/edge/node/usage.go
+++ b/internal/edge/node/usage.go
@@ -7,7 +7,7 @@
 	"sync/atomic"
 	"time"
 
-	"fawncove/internal/core/step"
+	"fawncove/internal/core/eventloop"
 )
 
 // usageEvery is how often the use of the budgets is logged.
@@ -23,16 +23,16 @@
 }
 
 // count notes an effect that costs something.
-func (u *usage) count(e step.Effect) {
+func (u *usage) count(e eventloop.Effect) {
 	switch e := e.(type) {
-	case step.StateTxn:
+	case eventloop.StateTxn:
 		u.reads++
 		u.changes += len(e.Txn.Then)
-	case step.StateGet, step.StateRange, step.StateWatch:
+	case eventloop.StateGet, eventloop.StateRange, eventloop.StateWatch:
 		u.reads++
-	case step.CloudTypes, step.CloudRent, step.CloudRelease, step.CloudList:
+	case eventloop.CloudTypes, eventloop.CloudCreate, eventloop.CloudDelete, eventloop.CloudList:
 		u.calls++
-	case step.Direct:
+	case eventloop.WorkerCommands:
 		u.commands++
 	}
 }
@@ -73,7 +73,7 @@
 	sample := []metrics.Sample{{Name: "/memory/classes/total:bytes"}}
 	metrics.Read(sample)
 	rate := func(n int) float64 { return float64(int(10*float64(n)/took.Seconds())) / 10 }
-	n.log.Info("usage", "machines", n.core.Holds(), "connections", n.sockets.open.Load(), "memory_mb", sample[0].Value.Uint64()>>20,
+	n.log.Info("usage", "machines", n.core.MachineCount(), "connections", n.sockets.open.Load(), "memory_mb", sample[0].Value.Uint64()>>20,
 		"state_requests_per_s", rate(u.reads), "state_changes_per_s", rate(u.changes), "cloud_calls_per_s", rate(u.calls),
 		"commands_per_s", rate(u.commands), "busiest_second_events", max(u.busiestSecond, u.events))
 	*u = usage{at: now, second: now}
--- a/internal/testkit/drill/drill.go
+++ b/internal/testkit/drill/drill.go
@@ -23,8 +23,8 @@
 	"github.com/BurntSushi/toml"
 
 	"fawncove/internal/config"
-	"fawncove/internal/core/gate"
-	"fawncove/internal/core/rebuild"
+	"fawncove/internal/core/feature"
+	"fawncove/internal/core/recovery"
 	"fawncove/internal/edge/statestore"
 	"fawncove/internal/testkit/loopback"
 	"fawncove/internal/testkit/simtest"
@@ -319,16 +319,16 @@
 	d.host.Look(func(w *simtest.Driven) { w.LoseState(d.plan.Lose) })
 	s, _ := d.Summary()
 	d.say("the state service has now what it had %v ago: %d records", d.plan.Lose, s.Records)
-	var g rebuild.Generation
+	var g recovery.Generation
 	if err := d.until("the state is rebuilt", 90*time.Second, func() bool {
 		var err error
-		g, _, err = rebuild.Read(d.ctx, d.store)
+		g, _, err = recovery.Read(d.ctx, d.store)
 		return err == nil && g.Generation > 1
 	}); err != nil {
 		return err
 	}
 	s, _ = d.Summary()
-	d.say("%s has rebuilt it: generation %d, %d jobs and %d ends stored again, %d machines taken over, %d records", g.By, g.Generation, g.Jobs, g.Ends, g.Machines, s.Records)
+	d.say("%s has rebuilt it: generation %d, %d jobs and %d ends stored again, %d machines taken over, %d records", g.Controller, g.Generation, g.Jobs, g.Ends, g.Machines, s.Records)
 	return nil
 }
 
@@ -442,12 +442,12 @@
 	if err != nil {
 		return err
 	}
-	if err := pic.Ask(d.ctx, d.store, gate.Word{Level: gate.Newest}, time.Now()); err != nil {
+	if err := pic.Ask(d.ctx, d.store, feature.OperatorRequest{TargetLevel: feature.Newest}, time.Now()); err != nil {
 		return err
 	}
 	err = d.until("the level is confirmed", 40*time.Second, func() bool {
 		pic, err = upgrade.Read(d.ctx, d.store, d.cfg)
-		return err == nil && pic.Confirmed == gate.Newest
+		return err == nil && pic.Confirmed == feature.Newest
 	})
 	if err != nil {
 		return fmt.Errorf("%w: %s", err, strings.Join(pic.Waits, "; "))
--- a/internal/testkit/loopback/loopback.go
+++ b/internal/testkit/loopback/loopback.go
@@ -21,7 +21,7 @@
 
 	"github.com/vmihailenco/msgpack/v5"
 
-	"fawncove/internal/core/step"
+	"fawncove/internal/core/eventloop"
 	"fawncove/internal/edge/client"
 	"fawncove/internal/testkit/simtest"
 	"fawncove/internal/wire"
@@ -188,12 +188,12 @@
 				return
 			}
 		}
-		if d, ok := do(h, r, now(func() step.Completed { return h.world.Txn(t.wire()) })); ok {
+		if d, ok := do(h, r, now(func() eventloop.Completion { return h.world.Txn(t.wire()) })); ok {
 			write(w, d.Status, d.Txn)
 		}
 	})
 	mux.HandleFunc("GET /store/{key...}", func(w http.ResponseWriter, r *http.Request) {
-		d, ok := do(h, r, now(func() step.Completed {
+		d, ok := do(h, r, now(func() eventloop.Completion {
 			d := h.world.Get(r.PathValue("key"))
 			d.Txn.Revision = h.world.Revision()
 			return d
@@ -208,7 +208,7 @@
 	})
 	mux.HandleFunc("GET /store", func(w http.ResponseWriter, r *http.Request) {
 		q := r.URL.Query()
-		if d, ok := do(h, r, now(func() step.Completed { return h.world.Page(q.Get("under"), q.Get("after")) })); ok {
+		if d, ok := do(h, r, now(func() eventloop.Completion { return h.world.Page(q.Get("under"), q.Get("after")) })); ok {
 			write(w, d.Status, d.Page)
 		}
 	})
@@ -220,11 +220,11 @@
 			write(w, 400, wire.ErrorAnswer{Error: "after, holdMs"})
 			return
 		}
-		d, ok := do(h, r, func(answer func(step.Completed)) {
+		d, ok := do(h, r, func(answer func(eventloop.Completion)) {
 			h.world.Watch(q.Get("under"), after, time.Duration(hold)*time.Millisecond, answer)
 		})
 		if ok {
-			write(w, d.Status, d.Watch)
+			write(w, d.Status, d.Changes)
 		}
 	})
 	return mux
@@ -244,7 +244,7 @@
 		if !body(w, r, &rent) {
 			return
 		}
-		d, ok := do(h, r, now(func() step.Completed { return h.world.Rent(rent) }))
+		d, ok := do(h, r, now(func() eventloop.Completion { return h.world.Rent(rent) }))
 		switch {
 		case !ok:
 		case d.Status == 200:
@@ -265,7 +265,7 @@
 	mux.HandleFunc("GET /machines", func(w http.ResponseWriter, r *http.Request) {
 		if d, ok := do(h, r, now(h.world.List)); ok {
 			var l wire.MachineList
-			for _, m := range d.List.Machines {
+			for _, m := range d.Machines.Machines {
 				if m.Name > r.URL.Query().Get("after") {
 					l.Machines = append(l.Machines, m)
 				}
@@ -357,7 +357,7 @@
 // ---- what workers and users ask, as simtest.Edge
 
 // Ask sends a request to a controller and posts its reply.
-func (h *Host) Ask(node string, ev step.Event, then func(step.Reply)) {
+func (h *Host) Ask(node string, ev eventloop.Event, then func(eventloop.Reply)) {
 	h.wait.Add(1)
 	go func() {
 		defer h.wait.Done()
@@ -386,26 +386,26 @@
 	return m, nil
 }
 
-func (h *Host) request(ctx context.Context, base string, ev step.Event) step.Reply {
+func (h *Host) request(ctx context.Context, base string, ev eventloop.Event) eventloop.Reply {
 	var job wire.JobAnswer
 	var err error
-	r := step.Reply{}
+	r := eventloop.Reply{}
 	switch e := ev.(type) {
-	case step.SubmitIn:
+	case eventloop.SubmitRequest:
 		var submission map[string]any
 		if submission, err = asUser(&e.Job); err == nil {
 			r.Status, err = h.call.Do(ctx, http.MethodPost, base+"/v1/jobs", submission, &job, 200, 201)
 		}
 		r.Body = job
-	case step.PollIn:
+	case eventloop.QueryRequest:
 		r.Status, err = h.call.Do(ctx, http.MethodGet, base+"/v1/jobs/"+url.PathEscape(e.ID), nil, &job, 200)
 		r.Body = job
-	case step.CancelIn:
+	case eventloop.CancelRequest:
 		r.Status, err = h.call.Do(ctx, http.MethodPost, base+"/v1/jobs/"+url.PathEscape(e.ID)+"/cancel", struct{}{}, &job, 200)
 		r.Body = job
-	case step.ReportIn:
+	case eventloop.HeartbeatRequest:
 		var raw msgpack.RawMessage
-		r.Status, err = h.call.Do(ctx, http.MethodPost, base+"/checkin", e.Report, &raw, 200, 421)
+		r.Status, err = h.call.Do(ctx, http.MethodPost, base+"/checkin", e.Heartbeat, &raw, 200, 421)
 		var a wire.HeartbeatAnswer
 		var to wire.Redirect
 		switch {
@@ -422,7 +422,7 @@
 	}
 	if err != nil {
 		h.log.Debug("no answer", "from", base, "err", err)
-		return step.Reply{}
+		return eventloop.Reply{}
 	}
 	return r
 }
--- a/internal/testkit/loopback/loopback_test.go
+++ b/internal/testkit/loopback/loopback_test.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"fawncove/internal/config"
-	"fawncove/internal/core/step"
+	"fawncove/internal/core/eventloop"
 	"fawncove/internal/edge/cloud"
 	"fawncove/internal/edge/statestore"
 	"fawncove/internal/testkit/simtest"
@@ -132,8 +132,8 @@
 	}
 	// A controller that is not there is no answer.
 	h := start(t)
-	got := make(chan step.Reply, 1)
-	h.Ask("n0", step.PollIn{ID: "wk-000001"}, func(r step.Reply) { got <- r })
+	got := make(chan eventloop.Reply, 1)
+	h.Ask("n0", eventloop.QueryRequest{ID: "wk-000001"}, func(r eventloop.Reply) { got <- r })
 	if r := <-got; r.Status != 0 {
 		t.Errorf("from nobody: %+v", r)
 	}
--- a/internal/testkit/simtest/actors.go
+++ b/internal/testkit/simtest/actors.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"fawncove/internal/config"
-	"fawncove/internal/core/step"
+	"fawncove/internal/core/eventloop"
 	"fawncove/internal/wire"
 )
 
@@ -202,7 +202,7 @@
 	flight, session, sent := k.flight, k.session, w.now
 	n := w.nodes[k.node]
 	r := k.body()
-	finish := func(reply step.Reply) {
+	finish := func(reply eventloop.Reply) {
 		if k.gone || !k.busy || k.flight != flight || w.now < k.hang || (reply.Status != 0 && w.now < k.deaf) {
 			return // dropped: too late, or the machine hangs, or hears nothing
 		}
@@ -228,19 +228,19 @@
 			}
 		}
 	}
-	w.after(4*time.Second, func() { finish(step.Reply{}) })
+	w.after(4*time.Second, func() { finish(eventloop.Reply{}) })
 	if w.now < k.mute {
 		return
 	}
 	w.copyLate(r)
 	w.keepForNext(r)
 	if !n.up {
-		w.after(time.Millisecond, func() { finish(step.Reply{}) })
+		w.after(time.Millisecond, func() { finish(eventloop.Reply{}) })
 		return
 	}
 	w.send(k.name, n.name, func() {
-		n.ask(func(req uint64) step.Event { return step.ReportIn{Req: req, Report: r} },
-			func(reply step.Reply) { w.send(n.name, k.name, func() { finish(reply) }) })
+		n.ask(func(req uint64) eventloop.Event { return eventloop.HeartbeatRequest{Req: req, Heartbeat: r} },
+			func(reply eventloop.Reply) { w.send(n.name, k.name, func() { finish(reply) }) })
 	})
 }
 
@@ -444,24 +444,24 @@
 	}
 }
 
-func (u *user) anyNode(build func(req uint64) step.Event, then func(step.Reply)) {
+func (u *user) anyNode(build func(req uint64) eventloop.Event, then func(eventloop.Reply)) {
 	w := u.w
 	n := w.nodes[w.rng.IntN(len(w.nodes))]
 	answered := false
-	once := func(r step.Reply) {
+	once := func(r eventloop.Reply) {
 		if !answered {
 			answered = true
 			then(r)
 		}
 	}
 	then = u.judged(n, build(0), then)
-	w.after(3*time.Second, func() { once(step.Reply{}) })
+	w.after(3*time.Second, func() { once(eventloop.Reply{}) })
 	if !n.up {
-		w.after(10*time.Millisecond, func() { once(step.Reply{}) })
+		w.after(10*time.Millisecond, func() { once(eventloop.Reply{}) })
 		return
 	}
 	w.after(time.Duration(1+w.rng.IntN(5))*time.Millisecond, func() {
-		n.ask(build, func(r step.Reply) {
+		n.ask(build, func(r eventloop.Reply) {
 			w.after(time.Duration(1+w.rng.IntN(5))*time.Millisecond, func() { once(r) })
 		})
 	})
@@ -469,7 +469,7 @@
 
 func (u *user) submit() {
 	u.submitted = true
-	u.anyNode(func(req uint64) step.Event { return step.SubmitIn{Req: req, Job: u.job} }, func(r step.Reply) {
+	u.anyNode(func(req uint64) eventloop.Event { return eventloop.SubmitRequest{Req: req, Job: u.job} }, func(r eventloop.Reply) {
 		switch r.Status {
 		case 200, 201:
 			first := !u.accepted
@@ -497,7 +497,7 @@
 func (u *user) poll() {
 	accepted := u.accepted
 	u.w.askedLong(u)
-	u.anyNode(func(req uint64) step.Event { return step.PollIn{Req: req, ID: u.job.ID} }, func(r step.Reply) {
+	u.anyNode(func(req uint64) eventloop.Event { return eventloop.QueryRequest{Req: req, ID: u.job.ID} }, func(r eventloop.Reply) {
 		switch r.Status {
 		case 200:
 			u.answeredAt = u.w.now
@@ -512,7 +512,7 @@
 }
 
 func (u *user) cancel() {
-	u.anyNode(func(req uint64) step.Event { return step.CancelIn{Req: req, ID: u.job.ID} }, func(r step.Reply) {
+	u.anyNode(func(req uint64) eventloop.Event { return eventloop.CancelRequest{Req: req, ID: u.job.ID} }, func(r eventloop.Reply) {
 		if r.Status != 200 {
 			u.w.after(time.Second, u.cancel)
 			return
--- a/internal/testkit/simtest/answers.go
+++ b/internal/testkit/simtest/answers.go
@@ -5,10 +5,10 @@
 	"strings"
 	"time"
 
+	"fawncove/internal/core/eventloop"
 	"fawncove/internal/core/leasevalue"
 	"fawncove/internal/core/owner"
-	"fawncove/internal/core/rebuild"
-	"fawncove/internal/core/step"
+	"fawncove/internal/core/recovery"
 	"fawncove/internal/wire"
 )
 
@@ -45,11 +45,11 @@
 // and that a process that has told of one does not take that back, unless the state
 // has lost data. Those of an end are stored with it, and are the same wherever it is
 // told.
-func (u *user) judged(n *simNode, ev step.Event, then func(step.Reply)) func(step.Reply) {
+func (u *user) judged(n *simNode, ev eventloop.Event, then func(eventloop.Reply)) func(eventloop.Reply) {
 	before, asked := u.newest, u.w.now
 	life := n.life
 	before.most = u.most[process{n.name, life}]
-	return func(r step.Reply) {
+	return func(r eventloop.Reply) {
 		if n.life != life {
 			before.most = 0 // another process has answered
 		}
@@ -58,7 +58,7 @@
 	}
 }
 
-func (u *user) judge(n *simNode, ev step.Event, before tellings, asked time.Duration, r step.Reply) {
+func (u *user) judge(n *simNode, ev eventloop.Event, before tellings, asked time.Duration, r eventloop.Reply) {
 	w := u.w
 	older := func(than telling) {
 		w.breakRule("older answer: %s of %s gets %d %v from %s, asked at %.3f; %s said %s (%d done) at %.3f", kindOf(ev), u.job.ID,
@@ -79,8 +79,8 @@
 		return
 	}
 	a, ok := r.Body.(wire.JobAnswer)
-	_, submitted := ev.(step.SubmitIn)
-	_, cancelled := ev.(step.CancelIn)
+	_, submitted := ev.(eventloop.SubmitRequest)
+	_, cancelled := ev.(eventloop.CancelRequest)
 	over := a.State == wire.Done || a.State == wire.Cancelled
 	told := telling{a.State, a.Done, n.name, w.now}
 	switch {
@@ -108,11 +108,11 @@
 	}
 }
 
-func kindOf(ev step.Event) string {
+func kindOf(ev eventloop.Event) string {
 	switch ev.(type) {
-	case step.SubmitIn:
+	case eventloop.SubmitRequest:
 		return "submission"
-	case step.CancelIn:
+	case eventloop.CancelRequest:
 		return "cancellation"
 	}
 	return "question"
@@ -139,30 +139,30 @@
 }
 
 // askOf puts one question to controller n, and takes the answer as its user does.
-func (u *user) askOf(n *simNode, ev step.Event) {
+func (u *user) askOf(n *simNode, ev eventloop.Event) {
 	w := u.w
-	heard := u.judged(n, ev, func(r step.Reply) {
+	heard := u.judged(n, ev, func(r eventloop.Reply) {
 		w.night.looks[r.Status]++
 		if a, ok := r.Body.(wire.JobAnswer); ok && r.Status < 300 {
 			u.hear(a.State)
 		}
 	})
 	w.after(time.Duration(1+w.rng.IntN(5))*time.Millisecond, func() {
-		n.ask(func(req uint64) step.Event { return withReq(ev, req) }, func(r step.Reply) {
+		n.ask(func(req uint64) eventloop.Event { return withReq(ev, req) }, func(r eventloop.Reply) {
 			w.after(time.Duration(1+w.rng.IntN(5))*time.Millisecond, func() { heard(r) })
 		})
 	})
 }
 
-func withReq(ev step.Event, req uint64) step.Event {
+func withReq(ev eventloop.Event, req uint64) eventloop.Event {
 	switch e := ev.(type) {
-	case step.SubmitIn:
+	case eventloop.SubmitRequest:
 		e.Req = req
 		return e
-	case step.CancelIn:
+	case eventloop.CancelRequest:
 		e.Req = req
 		return e
-	case step.PollIn:
+	case eventloop.QueryRequest:
 		e.Req = req
 		return e
 	}
@@ -181,23 +181,23 @@
 	rounds, spread := 3+w.rng.IntN(8), 5*time.Millisecond+time.Duration(w.rng.IntN(45))*time.Millisecond
 	for range rounds {
 		for _, n := range w.nodes {
-			var ev step.Event = step.PollIn{ID: u.job.ID}
+			var ev eventloop.Event = eventloop.QueryRequest{ID: u.job.ID}
 			other := u.job
 			switch kind := w.rng.IntN(10); {
 			case u.newest.known.state == "":
 				if kind < 4 { // none with another body, which could be the first to be accepted
-					ev = step.SubmitIn{Job: u.job}
+					ev = eventloop.SubmitRequest{Job: u.job}
 				}
 			case kind == 0:
-				ev = step.SubmitIn{Job: u.job}
+				ev = eventloop.SubmitRequest{Job: u.job}
 			case kind == 1:
 				other.Tasks++
-				ev = step.SubmitIn{Job: other}
+				ev = eventloop.SubmitRequest{Job: other}
 			case kind == 2:
 				other.Team = "nobody"
-				ev = step.SubmitIn{Job: other}
+				ev = eventloop.SubmitRequest{Job: other}
 			case kind == 3:
-				ev = step.SubmitIn{Job: wire.Job{ID: u.job.ID}, Err: fmt.Errorf("field komadi is missing or invalid")}
+				ev = eventloop.SubmitRequest{Job: wire.Job{ID: u.job.ID}, Err: fmt.Errorf("field komadi is missing or invalid")}
 			}
 			w.after(time.Duration(w.rng.Int64N(int64(spread))), func() { u.askOf(n, ev) })
 		}
@@ -206,7 +206,7 @@
 		n := w.nodes[w.rng.IntN(len(w.nodes))]
 		w.after(time.Duration(w.rng.Int64N(int64(spread))), func() {
 			u.wantsCancel = true
-			u.askOf(n, step.CancelIn{ID: u.job.ID})
+			u.askOf(n, eventloop.CancelRequest{ID: u.job.ID})
 		})
 		w.after(spread+20*time.Millisecond, u.cancel) // until somebody has confirmed it
 	}
@@ -237,7 +237,7 @@
 				return aCancellation
 			}
 			return anEnd
-		case op.Put == rebuild.Key:
+		case op.Put == recovery.Key:
 			return theGeneration
 		case op.Put == leasevalue.Key, strings.HasPrefix(op.Put, leasevalue.PagePrefix):
 			return theValue
@@ -296,8 +296,8 @@
 }
 
 // lagging hands the answers of a controller's watches on late, if they are to be.
-func (w *World) lagging(node string, answer func(step.Completed)) func(step.Completed) {
-	return func(c step.Completed) {
+func (w *World) lagging(node string, answer func(eventloop.Completion)) func(eventloop.Completion) {
+	return func(c eventloop.Completion) {
 		if d := w.night.watchLag[node]; d > 0 {
 			w.after(d, func() { answer(c) })
 			return
--- a/internal/testkit/simtest/answers_model_test.go
+++ b/internal/testkit/simtest/answers_model_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"fawncove/internal/core/step"
+	"fawncove/internal/core/eventloop"
 	"fawncove/internal/wire"
 )
 
@@ -180,7 +180,7 @@
 		a.machines[0].report()
 	case s == "leave":
 		a.used["leave"]++
-		a.hand(1, step.Leave{}, s)
+		a.hand(1, eventloop.Shutdown{}, s)
 		a.settle()
 		for range 6 { // the other one may have to read the lease value first
 			a.pass(300 * time.Millisecond)
@@ -206,7 +206,7 @@
 	a.settle()
 	for range 3 {
 		a.nodes[i].now = a.nodes[i].now.Add(300 * time.Millisecond)
-		a.hand(i, step.Tick{}, "tick")
+		a.hand(i, eventloop.Tick{}, "tick")
 		a.settle()
 	}
 }
@@ -218,15 +218,15 @@
 	q := &question{what, a.age}
 	a.open = append(a.open, q)
 	a.wants = a.wants || kind == "cancel"
-	a.ask(number(at), kind, func(req uint64) step.Event {
+	a.ask(number(at), kind, func(req uint64) eventloop.Event {
 		switch kind {
 		case "submit":
-			return step.SubmitIn{Req: req, Job: oneTask}
+			return eventloop.SubmitRequest{Req: req, Job: oneTask}
 		case "cancel":
-			return step.CancelIn{Req: req, ID: theJob}
+			return eventloop.CancelRequest{Req: req, ID: theJob}
 		}
-		return step.PollIn{Req: req, ID: theJob}
-	}, func(r step.Reply) {
+		return eventloop.QueryRequest{Req: req, ID: theJob}
+	}, func(r eventloop.Reply) {
 		a.open = slices.DeleteFunc(a.open, func(o *question) bool { return o == q })
 		a.hear(q, r)
 	})
@@ -234,7 +234,7 @@
 }
 
 // hear holds an answer against what the user was told before the question.
-func (a *answers) hear(q *question, r step.Reply) {
+func (a *answers) hear(q *question, r eventloop.Reply) {
 	age, state := 0, fmt.Sprint(r.Status)
 	switch r.Status {
 	case 200, 201:
@@ -327,7 +327,7 @@
 
 func (o outcomes) add(a *answers) {
 	o[cmp.Or(a.end, "no end")]++
-	if a.used["leave"] > 0 && a.nodes[0].core.Homes()["free"] == "n0" {
+	if a.used["leave"] > 0 && a.nodes[0].core.Partitions()["free"] == "n0" {
 		o["handed over"]++
 	}
 }
--- a/internal/testkit/simtest/answers_test.go
+++ b/internal/testkit/simtest/answers_test.go
@@ -8,8 +8,8 @@
 	"time"
 
 	"fawncove/internal/config"
-	"fawncove/internal/core/gate"
-	"fawncove/internal/core/step"
+	"fawncove/internal/core/eventloop"
+	"fawncove/internal/core/feature"
 	"fawncove/internal/wire"
 )
 
@@ -52,7 +52,7 @@
 			w.after(time.Duration(i)*d/3+w.within(d/6), func() {
 				at := w.busiest()
 				if n := w.nodes[at]; n.up && w.now >= n.frozen && w.rng.IntN(2) == 0 {
-					n.step(step.Leave{})
+					n.step(eventloop.Shutdown{})
 				}
 				w.after(w.within(2*time.Second), func() { w.Crash(at, w.within(9*time.Second)) })
 			})
@@ -159,7 +159,7 @@
 			t.Parallel()
 			w := newMeeting(uint64(2*seed + 2))
 			if kind == aRewriting {
-				w.Begin(gate.Current(), from-5*time.Second) // so that there are records to rewrite
+				w.Begin(feature.Current(), from-5*time.Second) // so that there are records to rewrite
 			}
 			for i := range 24 {
 				u := w.SubmitNight(i, time.Duration(i)*3*time.Second)
@@ -226,7 +226,7 @@
 		"another was out of reach":   {func(w *World, owner int) { w.Isolate((owner+1)%3, 9*time.Second) }, 9 * time.Second},
 		"another was frozen":         {func(w *World, owner int) { w.Freeze((owner+1)%3, 4*time.Second) }, 4 * time.Second},
 		"the owner was out of reach": {func(w *World, owner int) { w.Isolate(owner, 3*time.Second) }, 4 * time.Second},
-		"the owner has resigned":     {func(w *World, owner int) { w.nodes[owner].step(step.Leave{}) }, 30 * time.Second},
+		"the owner has resigned":     {func(w *World, owner int) { w.nodes[owner].step(eventloop.Shutdown{}) }, 30 * time.Second},
 		"the owner was replaced":     {func(w *World, owner int) { w.Crash(owner, 35*time.Second) }, 45 * time.Second},
 		"the owner was replaced, all machines die": {func(w *World, owner int) {
 			w.Crash(owner, 35*time.Second)
@@ -234,7 +234,7 @@
 			w.some(100, func(k *worker) { w.kill(k.name) })
 		}, 75 * time.Second},
 		"the owner has resigned, all machines die": {func(w *World, owner int) {
-			w.nodes[owner].step(step.Leave{})
+			w.nodes[owner].step(eventloop.Shutdown{})
 			w.most = 0
 			w.some(100, func(k *worker) { w.kill(k.name) })
 		}, 75 * time.Second},
@@ -265,7 +265,7 @@
 				if !u.accepted || u.begunAt == 0 || w.now-u.begunAt < 5*time.Second {
 					continue
 				}
-				n.ask(func(req uint64) step.Event { return step.PollIn{Req: req, ID: u.job.ID} }, func(r step.Reply) {
+				n.ask(func(req uint64) eventloop.Event { return eventloop.QueryRequest{Req: req, ID: u.job.ID} }, func(r eventloop.Reply) {
 					a, _ := r.Body.(wire.JobAnswer)
 					want := wire.Pending
 					if u.running > 0 {
@@ -298,7 +298,7 @@
 		w.night.watchLag = map[string]time.Duration{asked.name: 30 * time.Second}
 		w.night.looks = map[int]int{}
 		for i := range 100 {
-			w.after(time.Duration(i)*20*time.Millisecond, func() { u.askOf(asked, step.PollIn{ID: u.job.ID}) })
+			w.after(time.Duration(i)*20*time.Millisecond, func() { u.askOf(asked, eventloop.QueryRequest{ID: u.job.ID}) })
 		}
 		w.after(wait, func() { u.cancelThrough(other) })
 		w.Run(5 * time.Second)
@@ -313,21 +313,21 @@
 
 // TestAnswersCheckerCries plants answers that are older than what was told.
 func TestAnswersCheckerCries(t *testing.T) {
-	said := func(state string, done int) step.Reply {
-		return step.Reply{Status: 200, Body: wire.JobAnswer{ID: "wk-000001", State: state, Done: done}}
+	said := func(state string, done int) eventloop.Reply {
+		return eventloop.Reply{Status: 200, Body: wire.JobAnswer{ID: "wk-000001", State: state, Done: done}}
 	}
-	created := step.Reply{Status: 201, Body: wire.JobAnswer{ID: "wk-000001", State: wire.Pending}}
-	poll, submit, cancel := step.PollIn{ID: "wk-000001"}, step.SubmitIn{Job: wire.Job{ID: "wk-000001"}}, step.CancelIn{ID: "wk-000001"}
+	created := eventloop.Reply{Status: 201, Body: wire.JobAnswer{ID: "wk-000001", State: wire.Pending}}
+	poll, submit, cancel := eventloop.QueryRequest{ID: "wk-000001"}, eventloop.SubmitRequest{Job: wire.Job{ID: "wk-000001"}}, eventloop.CancelRequest{ID: "wk-000001"}
 	for name, c := range map[string]struct {
-		told  step.Reply
-		ev    step.Event
-		reply step.Reply
+		told  eventloop.Reply
+		ev    eventloop.Event
+		reply eventloop.Reply
 		cries bool
 	}{
-		"404 after 201":                       {created, poll, step.Reply{Status: 404}, true},
-		"404 to a cancellation after 200":     {said(wire.Running, 0), cancel, step.Reply{Status: 404}, true},
-		"422 after 201":                       {created, submit, step.Reply{Status: 422}, true},
-		"400 after 201":                       {created, submit, step.Reply{Status: 400}, true},
+		"404 after 201":                       {created, poll, eventloop.Reply{Status: 404}, true},
+		"404 to a cancellation after 200":     {said(wire.Running, 0), cancel, eventloop.Reply{Status: 404}, true},
+		"422 after 201":                       {created, submit, eventloop.Reply{Status: 422}, true},
+		"400 after 201":                       {created, submit, eventloop.Reply{Status: 400}, true},
 		"201 after 201":                       {created, submit, created, true},
 		"201 after done":                      {said(wire.Done, 2), submit, created, true},
 		"pending after done":                  {said(wire.Done, 2), poll, said(wire.Pending, 0), true},
@@ -338,22 +338,22 @@
 		"another count after cancelled":       {said(wire.Cancelled, 1), poll, said(wire.Cancelled, 0), true},
 		"running, to a cancellation":          {created, cancel, said(wire.Running, 0), true},
 		"more completed tasks than there are": {created, poll, said(wire.Running, 3), true},
-		"409":                                 {created, submit, step.Reply{Status: 409}, true},
-		"503 after done":                      {said(wire.Done, 2), poll, step.Reply{Status: 503}, false},
-		"no answer after done":                {said(wire.Done, 2), poll, step.Reply{}, false},
+		"409":                                 {created, submit, eventloop.Reply{Status: 409}, true},
+		"503 after done":                      {said(wire.Done, 2), poll, eventloop.Reply{Status: 503}, false},
+		"no answer after done":                {said(wire.Done, 2), poll, eventloop.Reply{}, false},
 		"pending after running":               {said(wire.Running, 1), poll, said(wire.Pending, 1), false},
 		"fewer completed tasks":               {said(wire.Running, 1), poll, said(wire.Running, 0), true},
 		"done after done":                     {said(wire.Done, 2), cancel, said(wire.Done, 2), false},
-		"404 after 503":                       {step.Reply{Status: 503}, poll, step.Reply{Status: 404}, false},
+		"404 after 503":                       {eventloop.Reply{Status: 503}, poll, eventloop.Reply{Status: 404}, false},
 	} {
 		for _, overtaken := range []bool{false, true} { // asked before the newer answer was read
 			w := newWorld(1, 0, config.Cluster{})
 			n := &simNode{w: w, name: "n0"}
 			u := w.newUser(wire.Job{ID: "wk-000001", Tasks: 2})
 			u.doneTasks["wk-000001/0"], u.doneTasks["wk-000001/1"] = true, true
-			before := u.judged(n, c.ev, func(step.Reply) {})
-			u.judged(n, submit, func(step.Reply) {})(c.told)
-			after := u.judged(n, c.ev, func(step.Reply) {})
+			before := u.judged(n, c.ev, func(eventloop.Reply) {})
+			u.judged(n, submit, func(eventloop.Reply) {})(c.told)
+			after := u.judged(n, c.ev, func(eventloop.Reply) {})
 			if overtaken {
 				after = before
 			}
--- a/internal/testkit/simtest/drive.go
+++ b/internal/testkit/simtest/drive.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"fawncove/internal/config"
-	"fawncove/internal/core/step"
+	"fawncove/internal/core/eventloop"
 	"fawncove/internal/wire"
 )
 
@@ -14,7 +14,7 @@
 type Edge interface {
 	// Ask hands a request to a controller and posts its reply; a reply with
 	// status 0 says that there was no answer.
-	Ask(node string, ev step.Event, then func(step.Reply))
+	Ask(node string, ev eventloop.Event, then func(eventloop.Reply))
 	// Open gives a machine an address, and Close takes it away.
 	Open(machine string) (endpoint string)
 	Close(machine string)
@@ -77,19 +77,19 @@
 }
 
 // Txn runs a transaction of the state service.
-func (d *Driven) Txn(t wire.Txn) step.Completed { return d.store.txn(t) }
+func (d *Driven) Txn(t wire.Txn) eventloop.Completion { return d.store.txn(t) }
 
 // Get reads a key of the state service.
-func (d *Driven) Get(key string) step.Completed { return d.store.get(key) }
+func (d *Driven) Get(key string) eventloop.Completion { return d.store.get(key) }
 
 // Page reads a page of keys.
-func (d *Driven) Page(prefix, after string) step.Completed { return d.store.page(prefix, after) }
+func (d *Driven) Page(prefix, after string) eventloop.Completion { return d.store.page(prefix, after) }
 
 // Revision is that of the last change.
 func (d *Driven) Revision() uint64 { return d.store.rev }
 
 // Watch has answer called when a key has changed after a revision, or after hold.
-func (d *Driven) Watch(prefix string, after uint64, hold time.Duration, answer func(step.Completed)) {
+func (d *Driven) Watch(prefix string, after uint64, hold time.Duration, answer func(eventloop.Completion)) {
 	d.store.watch("", prefix, after, d.now+hold, answer)
 }
 
@@ -97,7 +97,7 @@
 func (d *Driven) Types() wire.MachineTypes { return wire.MachineTypes{Types: machineTypes} }
 
 // Rent rents machines.
-func (d *Driven) Rent(r wire.InstanceRequest) step.Completed { return d.cloud.rent(r) }
+func (d *Driven) Rent(r wire.InstanceRequest) eventloop.Completion { return d.cloud.rent(r) }
 
 // Release ends machines.
 func (d *Driven) Release(names []string) {
@@ -108,7 +108,7 @@
 }
 
 // List lists machines, some seconds late.
-func (d *Driven) List() step.Completed { return d.cloud.list() }
+func (d *Driven) List() eventloop.Completion { return d.cloud.list() }
 
 // Commands hands commands to a machine's worker; status 0: it is not there.
 func (d *Driven) Commands(machine string, c wire.Commands) (status int, r *wire.Heartbeat) {
--- a/internal/testkit/simtest/duo_test.go
+++ b/internal/testkit/simtest/duo_test.go
@@ -11,7 +11,7 @@
 	"fawncove/internal/config"
 	"fawncove/internal/core/cluster"
 	"fawncove/internal/core/controller"
-	"fawncove/internal/core/step"
+	"fawncove/internal/core/eventloop"
 	"fawncove/internal/wire"
 )
 
@@ -20,9 +20,9 @@
 	node, life int
 	id         uint64
 	what       string
-	run        func() step.Completed
-	result     *step.Completed // carried out, not answered yet
-	lost       bool            // its caller was told that there is no answer
+	run        func() eventloop.Completion
+	result     *eventloop.Completion // carried out, not answered yet
+	lost       bool                  // its caller was told that there is no answer
 }
 
 func (c *call) String() string { return fmt.Sprintf("n%d's %s", c.node, c.what) }
@@ -37,10 +37,10 @@
 	core  *controller.Core
 	now   time.Time
 	hist  uint64 // sums up all that it was handed
-	watch *step.StateWatch
-	news  *step.Completed // the watch's answer, held up
-	lags  bool            // the watch, also where all else is prompt
-	since time.Time       // when it was opened
+	watch *eventloop.StateWatch
+	news  *eventloop.Completion // the watch's answer, held up
+	lags  bool                  // the watch, also where all else is prompt
+	since time.Time             // when it was opened
 	asked uint64
 
 	cut    bool     // no frames come from or go to the other one
@@ -59,7 +59,7 @@
 	prompt   bool // calls are carried out and answered at once
 	calls    []*call
 	queue    []func()
-	waits    map[[3]uint64]func(step.Reply)
+	waits    map[[3]uint64]func(eventloop.Reply)
 	clock    time.Duration
 	stored   uint64 // sums up the changes of the state service
 	broken   string // the first rule that was broken
@@ -68,9 +68,9 @@
 	unchecked string
 	blind     bool // workers leave out of their reports what runs: the same
 
-	done    bool                         // the job's task has been done, somewhere
-	started func(by int, on *duoMachine) // is told of each start
-	direct  func(by int, e *step.Direct) // takes direct commands; else they are prompt
+	done    bool                                      // the job's task has been done, somewhere
+	started func(by int, on *duoMachine)              // is told of each start
+	direct  func(by int, e *eventloop.WorkerCommands) // takes direct commands; else they are prompt
 }
 
 // duoMachine is one of the machines, with its worker.
@@ -102,7 +102,7 @@
 		State:   config.State{RPS: 1e6, WriteRPS: 1e6, ValueKB: 8, TxnOps: 12},
 		Cloud:   config.Cloud{RPS: 5, ListLagS: 4},
 	}
-	d := &duo{w: newWorld(1, 1, cfg), waits: map[[3]uint64]func(step.Reply){}, prompt: true}
+	d := &duo{w: newWorld(1, 1, cfg), waits: map[[3]uint64]func(eventloop.Reply){}, prompt: true}
 	d.w.writes = 1e6
 	blocks := map[string]wire.Block{}
 	for i := range d.nodes {
@@ -143,7 +143,7 @@
 	n.core, n.watch, n.news = controller.New(s, cluster.Defaults(), slog.New(slog.DiscardHandler), uint64(7+n.life)), nil, nil
 	n.life++
 	n.down, n.frozen, n.held = false, false, nil
-	d.hand(i, step.Tick{}, "start")
+	d.hand(i, eventloop.Tick{}, "start")
 }
 
 // sum adds to a sum of a history.
@@ -156,10 +156,10 @@
 // hand hands an event to a core. Its label tells it from others that it might have
 // been handed in its place. A controller's clock goes by what it was handed, so that
 // what the other one does in between makes no difference to it.
-func (d *duo) hand(i int, ev step.Event, label ...any) {
+func (d *duo) hand(i int, ev eventloop.Event, label ...any) {
 	n := d.nodes[i]
 	if n.frozen {
-		if ev != (step.Tick{}) {
+		if ev != (eventloop.Tick{}) {
 			n.hist = sum(n.hist, append(label, "held")...)
 			n.held = append(n.held, func() { d.hand(i, ev, label...) })
 		}
@@ -204,11 +204,11 @@
 	d.clock += t
 	for i, n := range d.nodes {
 		n.now = n.now.Add(t)
-		d.hand(i, step.Tick{}, "tick", t)
+		d.hand(i, eventloop.Tick{}, "tick", t)
 		if d.prompt && !n.lags && d.shown(i) == nil && n.watch != nil && n.now.Sub(n.since) >= n.watch.Hold {
 			id := n.watch.ID
 			n.watch = nil
-			d.back(i, n.life, step.Completed{ID: id, State: true, Status: 200, Watch: wire.Changes{Revision: d.w.store.rev}}, "no change")
+			d.back(i, n.life, eventloop.Completion{ID: id, FromStateService: true, Status: 200, Changes: wire.Changes{Revision: d.w.store.rev}}, "no change")
 		}
 		d.watchAll()
 		d.settle()
@@ -221,20 +221,20 @@
 }
 
 // back hands a completion to the process that waits for it.
-func (d *duo) back(i, life int, c step.Completed, label ...any) {
+func (d *duo) back(i, life int, c eventloop.Completion, label ...any) {
 	if d.nodes[i].life == life {
 		d.hand(i, c, append(label, c.ID, c.Status)...)
 	}
 }
 
-func (d *duo) carryOut(i int, e step.Effect) {
+func (d *duo) carryOut(i int, e eventloop.Effect) {
 	n, life := d.nodes[i], d.nodes[i].life
 	soon := func(f func()) { d.queue = append(d.queue, f) }
-	answer := func(id uint64, c step.Completed, label ...any) {
+	answer := func(id uint64, c eventloop.Completion, label ...any) {
 		c.ID = id
 		soon(func() { d.back(i, life, c, label...) })
 	}
-	state := func(id uint64, what string, chosen bool, run func() step.Completed) {
+	state := func(id uint64, what string, chosen bool, run func() eventloop.Completion) {
 		c := &call{node: i, life: life, id: id, what: what, run: run}
 		if chosen && !d.prompt {
 			d.calls = append(d.calls, c)
@@ -244,18 +244,18 @@
 	}
 	s := d.w.store
 	switch e := e.(type) {
-	case step.Reply:
+	case eventloop.Reply:
 		key := [3]uint64{uint64(i), uint64(life), e.Req}
 		if f := d.waits[key]; f != nil {
 			delete(d.waits, key)
 			f(e)
 		}
-	case step.PeerSend:
+	case eventloop.PeerSend:
 		to, sent := 1-i, n.hist
 		if !n.cut && !d.nodes[to].cut {
-			soon(func() { d.hand(to, step.PeerIn{Frame: e.Frame}, "frame", sent) })
+			soon(func() { d.hand(to, eventloop.PeerFrame{Frame: e.Frame}, "frame", sent) })
 		}
-	case step.StateTxn:
+	case eventloop.StateTxn:
 		what := "check"
 		for _, op := range e.Txn.Then {
 			switch {
@@ -267,42 +267,42 @@
 				what = ""
 			}
 		}
-		state(e.ID, what, what != "", func() step.Completed {
+		state(e.ID, what, what != "", func() eventloop.Completion {
 			if what != "" && what == d.unchecked {
 				e.Txn.If = nil
 			}
 			return s.txn(e.Txn)
 		})
-	case step.StateGet:
-		state(e.ID, "get "+e.Key, e.Key != "fc/lease" && e.Key != "fc/gen", func() step.Completed { return s.get(e.Key) })
-	case step.StateRange:
-		state(e.ID, "range "+e.Prefix, e.Prefix == "fc/j/", func() step.Completed { return s.page(e.Prefix, e.After) })
-	case step.StateWatch:
+	case eventloop.StateGet:
+		state(e.ID, "get "+e.Key, e.Key != "fc/lease" && e.Key != "fc/gen", func() eventloop.Completion { return s.get(e.Key) })
+	case eventloop.StateRange:
+		state(e.ID, "range "+e.Prefix, e.Prefix == "fc/j/", func() eventloop.Completion { return s.page(e.Prefix, e.After) })
+	case eventloop.StateWatch:
 		n.watch, n.since = &e, n.now
 		soon(func() {}) // whose turn it is then is looked at
-	case step.CloudTypes:
+	case eventloop.CloudTypes:
 		// One that takes long to boot is not returned as soon as it is idle.
 		slow := machineTypes[0]
 		slow.BootS = 900
-		answer(e.ID, step.Completed{Status: 200, Types: wire.MachineTypes{Types: []wire.MachineType{slow}}})
-	case step.CloudRent:
-		answer(e.ID, step.Completed{Status: 503})
-	case step.CloudRelease:
+		answer(e.ID, eventloop.Completion{Status: 200, Types: wire.MachineTypes{Types: []wire.MachineType{slow}}})
+	case eventloop.CloudCreate:
+		answer(e.ID, eventloop.Completion{Status: 503})
+	case eventloop.CloudDelete:
 		for _, m := range d.machines {
 			if slices.Contains(e.Names, m.name) {
 				m.tasks, m.gone = nil, true
 			}
 		}
-		answer(e.ID, step.Completed{Status: 200}, "released")
-	case step.CloudList:
+		answer(e.ID, eventloop.Completion{Status: 200}, "released")
+	case eventloop.CloudList:
 		var l wire.MachineList
 		for _, m := range d.machines {
 			if !m.gone {
 				l.Machines = append(l.Machines, wire.Machine{Name: m.name, Endpoint: m.endpoint, Type: "s4", Zone: "x", State: wire.MachineRunning, AgeS: 100})
 			}
 		}
-		answer(e.ID, step.Completed{Status: 200, List: l}, "list", len(l.Machines))
-	case step.Direct:
+		answer(e.ID, eventloop.Completion{Status: 200, Machines: l}, "list", len(l.Machines))
+	case eventloop.WorkerCommands:
 		if d.direct != nil {
 			d.direct(i, &e)
 			return
@@ -332,7 +332,7 @@
 
 func (d *duo) reply(c *call) {
 	r := *c.result
-	r.ID, r.State = c.id, true
+	r.ID, r.FromStateService = c.id, true
 	d.drop(c)
 	d.back(c.node, c.life, r, r.Txn, r.Page.Revision, r.Pair.Version, d.stored)
 }
@@ -343,7 +343,7 @@
 	if c.lost = true; c.result != nil || !c.writes() {
 		d.drop(c)
 	}
-	d.back(c.node, c.life, step.Completed{ID: c.id, State: true}, "no answer")
+	d.back(c.node, c.life, eventloop.Completion{ID: c.id, FromStateService: true}, "no answer")
 }
 
 // begin ends a controller's process and starts another.
@@ -368,15 +368,15 @@
 }
 
 // shown is what a controller's watch would show now, or nil.
-func (d *duo) shown(i int) *step.Completed {
+func (d *duo) shown(i int) *eventloop.Completion {
 	n := d.nodes[i]
 	if n.watch == nil || n.watch.After >= d.w.store.rev {
 		return nil
 	}
-	c := &step.Completed{ID: n.watch.ID, State: true, Status: 200, Watch: wire.Changes{Revision: d.w.store.rev}}
+	c := &eventloop.Completion{ID: n.watch.ID, FromStateService: true, Status: 200, Changes: wire.Changes{Revision: d.w.store.rev}}
 	for _, e := range d.w.store.log {
 		if e.Version > n.watch.After {
-			c.Watch.Log = append(c.Watch.Log, e.Change)
+			c.Changes.Log = append(c.Changes.Log, e.Change)
 		}
 	}
 	return c
@@ -387,7 +387,7 @@
 	if n.news == nil {
 		return 0
 	}
-	return n.news.Watch.Revision
+	return n.news.Changes.Revision
 }
 
 // watched answers a controller's watch, with what was held up if there is that.
@@ -401,8 +401,8 @@
 		return
 	}
 	n.watch, n.news = nil, nil
-	d.back(i, n.life, *c, "watch", c.Watch.Revision)
-	d.hand(i, step.Tick{}, "tick") // for the next watch
+	d.back(i, n.life, *c, "watch", c.Changes.Revision)
+	d.hand(i, eventloop.Tick{}, "tick") // for the next watch
 }
 
 func (d *duo) breakRule(format string, args ...any) {
@@ -415,8 +415,8 @@
 
 // command carries out direct commands of a controller and returns the answer; status
 // 0: there is nobody.
-func (d *duo) command(by int, e *step.Direct) step.Completed {
-	c := step.Completed{ID: e.ID}
+func (d *duo) command(by int, e *eventloop.WorkerCommands) eventloop.Completion {
+	c := eventloop.Completion{ID: e.ID}
 	k := slices.IndexFunc(d.machines, func(m *duoMachine) bool { return m.endpoint == e.Endpoint && !m.gone && !(m.apart && by == 0) })
 	if k < 0 {
 		return c
@@ -429,7 +429,7 @@
 		m.obey(by, e.Body.Token, e.Body.Commands)
 	}
 	r := m.body()
-	c.Report = &r
+	c.Heartbeat = &r
 	return c
 }
 
@@ -506,7 +506,7 @@
 			m.reports = 1
 			continue
 		}
-		d.ask(to, m.told, func(req uint64) step.Event { return step.ReportIn{Req: req, Report: m.body()} }, func(r step.Reply) {
+		d.ask(to, m.told, func(req uint64) eventloop.Event { return eventloop.HeartbeatRequest{Req: req, Heartbeat: m.body()} }, func(r eventloop.Reply) {
 			if r.Status != 200 || kept || m.session != session || d.clock-sent > 4*time.Second {
 				return
 			}
@@ -526,7 +526,7 @@
 
 // ask hands a request to a controller; then gets the reply. The label says what it
 // asks.
-func (d *duo) ask(i int, label any, build func(req uint64) step.Event, then func(step.Reply)) {
+func (d *duo) ask(i int, label any, build func(req uint64) eventloop.Event, then func(eventloop.Reply)) {
 	n := d.nodes[i]
 	n.asked++
 	d.waits[[3]uint64{uint64(i), uint64(n.life), n.asked}] = then
--- a/internal/testkit/simtest/fleet.go
+++ b/internal/testkit/simtest/fleet.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"fawncove/internal/config"
-	"fawncove/internal/core/step"
+	"fawncove/internal/core/eventloop"
 	"fawncove/internal/wire"
 )
 
@@ -51,7 +51,7 @@
 	for _, r := range reports {
 		for _, n := range w.nodes {
 			w.after(late+time.Duration(w.rng.IntN(1000))*time.Microsecond, func() {
-				n.ask(func(req uint64) step.Event { return step.ReportIn{Req: req, Report: r} }, func(step.Reply) {})
+				n.ask(func(req uint64) eventloop.Event { return eventloop.HeartbeatRequest{Req: req, Heartbeat: r} }, func(eventloop.Reply) {})
 			})
 		}
 	}
--- a/internal/testkit/simtest/fleet_meeting_test.go
+++ b/internal/testkit/simtest/fleet_meeting_test.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"fawncove/internal/config"
-	"fawncove/internal/core/step"
+	"fawncove/internal/core/eventloop"
 	"fawncove/internal/wire"
 )
 
@@ -153,7 +153,7 @@
 			case 2:
 				w.Vanish(at, 25*time.Second+w.within(10*time.Second))
 			case 3:
-				w.nodes[at].step(step.Leave{})
+				w.nodes[at].step(eventloop.Shutdown{})
 				w.after(w.within(2*time.Second), func() { w.Crash(at, w.within(time.Second)) })
 			}
 			for i := range 16 {
--- a/internal/testkit/simtest/handover_meeting_test.go
+++ b/internal/testkit/simtest/handover_meeting_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"fawncove/internal/core/step"
+	"fawncove/internal/core/eventloop"
 )
 
 // TestCancelledInTheHandOver: one controller's work changes hands because it crashes,
@@ -22,7 +22,7 @@
 		"is back at once": func(w *World, i int) { w.Crash(i, 500*time.Millisecond) },
 		"stands still":    func(w *World, i int) { w.Freeze(i, 32*time.Second) },
 		"leaves": func(w *World, i int) {
-			w.nodes[i].step(step.Leave{})
+			w.nodes[i].step(eventloop.Shutdown{})
 			w.after(2*time.Second, func() { w.Crash(i, 10*time.Second) })
 		},
 		"loses everybody": func(w *World, i int) { w.Vanish(i, 32*time.Second) },
@@ -34,7 +34,7 @@
 				starts := w.Starts
 				holder := func() int {
 					for i, n := range w.nodes {
-						if i != old && n.up && n.core.Holds() > 0 {
+						if i != old && n.up && n.core.MachineCount() > 0 {
 							return i
 						}
 					}
--- a/internal/testkit/simtest/handover_model_test.go
+++ b/internal/testkit/simtest/handover_model_test.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"fawncove/internal/config"
-	"fawncove/internal/core/step"
+	"fawncove/internal/core/eventloop"
 	"fawncove/internal/wire"
 )
 
@@ -34,7 +34,7 @@
 // heldCommand is a direct command on its way.
 type heldCommand struct {
 	by, life int
-	e        *step.Direct
+	e        *eventloop.WorkerCommands
 	sent     time.Duration
 	lost     bool // its sender was told that there is no answer
 }
@@ -72,7 +72,7 @@
 		}
 	}
 	h.used = map[string]int{}
-	h.direct = func(by int, e *step.Direct) {
+	h.direct = func(by int, e *eventloop.WorkerCommands) {
 		h.directs = append(h.directs, &heldCommand{by: by, life: h.nodes[by].life, e: e, sent: h.clock})
 	}
 	return h
@@ -111,7 +111,7 @@
 
 func (h *handover) giveUpOn(c *heldCommand) {
 	c.lost = true
-	h.back(c.by, c.life, step.Completed{ID: c.e.ID}, "no answer")
+	h.back(c.by, c.life, eventloop.Completion{ID: c.e.ID}, "no answer")
 	h.settle()
 }
 
@@ -246,7 +246,7 @@
 	case "cut":
 		n.cut = !n.cut
 	case "leave":
-		h.hand(1, step.Leave{}, verb)
+		h.hand(1, eventloop.Shutdown{}, verb)
 	case "end":
 		n.down, n.frozen, n.watch, n.held = true, false, nil, nil
 		n.life++
@@ -259,16 +259,16 @@
 	case "drain":
 		h.drain()
 	case "lapse":
-		for t := 0; t < 90 && h.nodes[0].core.Homes()["free"] != "n0" && h.broken == ""; t++ {
+		for t := 0; t < 90 && h.nodes[0].core.Partitions()["free"] != "n0" && h.broken == ""; t++ {
 			h.run(500 * time.Millisecond)
 		}
 	case "submit", "cancel":
-		h.ask(number(at), verb, func(req uint64) step.Event {
+		h.ask(number(at), verb, func(req uint64) eventloop.Event {
 			if verb == "cancel" {
-				return step.CancelIn{Req: req, ID: theJob}
+				return eventloop.CancelRequest{Req: req, ID: theJob}
 			}
-			return step.SubmitIn{Req: req, Job: oneTask}
-		}, func(r step.Reply) {
+			return eventloop.SubmitRequest{Req: req, Job: oneTask}
+		}, func(r eventloop.Reply) {
 			if r.Status == 200 && r.Body.(wire.JobAnswer).State == wire.Cancelled && h.cancelledAt == 0 {
 				h.cancelledAt = h.clock
 			}
@@ -279,7 +279,7 @@
 
 // hear hands a report to a controller, whose answer nobody reads.
 func (h *handover) hear(i int, r wire.Heartbeat) {
-	h.ask(i, fmt.Sprint(r.Machine, r.AgentEpoch, r.Sequence), func(req uint64) step.Event { return step.ReportIn{Req: req, Report: r} }, func(step.Reply) {})
+	h.ask(i, fmt.Sprint(r.Machine, r.AgentEpoch, r.Sequence), func(req uint64) eventloop.Event { return eventloop.HeartbeatRequest{Req: req, Heartbeat: r} }, func(eventloop.Reply) {})
 	h.settle()
 }
 
@@ -316,7 +316,7 @@
 	}
 	if h.played != nil {
 		h.played["courses"]++
-		if h.nodes[0].core.Homes()["free"] == "n0" {
+		if h.nodes[0].core.Partitions()["free"] == "n0" {
 			h.played["handed over"]++
 		}
 		if h.cancelledAt > 0 {
@@ -348,20 +348,20 @@
 		"moment, moment, apart 0, freeze@1, wait, lag@1, lapse, submit@0, moment, drain, thaw@1, submit@1, report 0, report 0, moment, drain",
 		func(h *handover) bool {
 			return h.machines[1].runs() && h.machines[0].reports == 1 &&
-				h.nodes[0].core.Homes()["free"] == "n0" && h.nodes[1].core.Homes()["free"] == "n1"
+				h.nodes[0].core.Partitions()["free"] == "n0" && h.nodes[1].core.Partitions()["free"] == "n1"
 		}},
 	{"a start that may still be on its way is taken for void", "nothing",
 		"submit@1, moment, lose 0, deafen 0, hang 0, moment, report 1, moment, wake 0, drain",
 		func(h *handover) bool { return h.runOn() == "host-000001" }}, // by the late command
 	{"a job is started beside a machine that may run it", "runs",
 		"apart 0, leave@1, lapse, report 1, moment, drain, report 1, moment, drain",
-		func(h *handover) bool { return h.machines[0].runs() && h.nodes[0].core.Homes()["free"] == "n0" }},
+		func(h *handover) bool { return h.machines[0].runs() && h.nodes[0].core.Partitions()["free"] == "n0" }},
 	{"an earlier process's machines are taken for known", "runs",
 		"hang 0, restart@1, wait, report 1, moment, report 1, moment, drain, wait, drain",
 		func(h *handover) bool { return h.machines[0].runs() }},
 	{"an old report is the first that a new holder hears, and counts", "nothing",
 		"copy 0, submit@1, moment, drain, apart 0, leave@1, lapse, old@0, report 1, moment, drain, report 1, moment, drain",
-		func(h *handover) bool { return h.machines[0].runs() && h.nodes[0].core.Homes()["free"] == "n0" }},
+		func(h *handover) bool { return h.machines[0].runs() && h.nodes[0].core.Partitions()["free"] == "n0" }},
 	{"a start without an answer stays in force", "nothing",
 		"submit@1, moment, wait, cancel@1, wait, wait, wait, wait, wait, wait, wait, wait, wait, wait, wait, wait, drain",
 		func(h *handover) bool { return h.cancelledAt > 0 && h.clock-h.cancelledAt > 34*time.Second }},
--- a/internal/testkit/simtest/kept_meeting_test.go
+++ b/internal/testkit/simtest/kept_meeting_test.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"fawncove/internal/config"
-	"fawncove/internal/core/step"
+	"fawncove/internal/core/eventloop"
 	"fawncove/internal/wire"
 )
 
@@ -20,7 +20,7 @@
 		"crashes":      func(w *World, i int) { w.Crash(i, 25*time.Second) },
 		"stands still": func(w *World, i int) { w.Freeze(i, 25*time.Second) },
 		"leaves": func(w *World, i int) {
-			w.nodes[i].step(step.Leave{})
+			w.nodes[i].step(eventloop.Shutdown{})
 			w.after(3*time.Second, func() { w.Crash(i, time.Second) })
 		},
 	} {
--- a/internal/testkit/simtest/leaders_meeting_test.go
+++ b/internal/testkit/simtest/leaders_meeting_test.go
@@ -8,8 +8,8 @@
 
 	"fawncove/internal/config"
 	"fawncove/internal/core/cluster"
+	"fawncove/internal/core/eventloop"
 	"fawncove/internal/core/leasevalue"
-	"fawncove/internal/core/step"
 	"fawncove/internal/wire"
 )
 
@@ -117,7 +117,7 @@
 func (w *World) askAll(i int) {
 	for _, id := range cluster.SortedKeys(w.users) {
 		if u := w.users[id]; u.accepted {
-			u.askOf(w.nodes[i], step.PollIn{ID: id})
+			u.askOf(w.nodes[i], eventloop.QueryRequest{ID: id})
 		}
 	}
 }
@@ -280,9 +280,9 @@
 				w.Run(5 * time.Second)
 				cut(w)
 				n, waits := w.nodes[0], map[string][]time.Duration{}
-				ask := func(u *user, ev step.Event, within time.Duration) {
+				ask := func(u *user, ev eventloop.Event, within time.Duration) {
 					asked, told := w.now, false
-					then := u.judged(n, ev, func(r step.Reply) {
+					then := u.judged(n, ev, func(r eventloop.Reply) {
 						told = true
 						waits[kindOf(ev)] = append(waits[kindOf(ev)], w.now-asked)
 						if late := w.now - asked; late > within || (r.Status == 503 && r.RetryAfter == 0) {
@@ -293,7 +293,7 @@
 							u.hear(a.State)
 						}
 					})
-					n.ask(func(req uint64) step.Event { return withReq(ev, req) }, then)
+					n.ask(func(req uint64) eventloop.Event { return withReq(ev, req) }, then)
 					w.after(within, func() {
 						if !told {
 							w.breakRule("%s of %s, asked at %.3f, has no answer from %s after %v", kindOf(ev), u.job.ID, asked.Seconds(), n.name, within)
@@ -306,12 +306,12 @@
 							switch {
 							case i >= len(known):
 								u.submitted = true
-								ask(u, step.SubmitIn{Job: u.job}, 5*time.Second)
+								ask(u, eventloop.SubmitRequest{Job: u.job}, 5*time.Second)
 							case i%2 == 0:
 								u.wantsCancel = true
-								ask(u, step.CancelIn{ID: u.job.ID}, 5*time.Second)
+								ask(u, eventloop.CancelRequest{ID: u.job.ID}, 5*time.Second)
 							default:
-								ask(u, step.PollIn{ID: u.job.ID}, 4*time.Second)
+								ask(u, eventloop.QueryRequest{ID: u.job.ID}, 4*time.Second)
 							}
 						})
 					}
--- a/internal/testkit/simtest/limit_meeting_test.go
+++ b/internal/testkit/simtest/limit_meeting_test.go
@@ -32,8 +32,8 @@
 			parted, ends := kind%2 == 1, kind/2 == 1
 			name := fmt.Sprintf("%s, parted %v, the leader ends %v", trouble, parted, ends)
 			par := cluster.Defaults()
-			if par.Pack = 0; parted {
-				par.Home = 0
+			if par.SinglePartitionBelow = 0; parted {
+				par.ShardLimitedAbove = 0
 			}
 			w := build(uint64(7+kind), 3, 60, par, config.Cluster{
 				InitialSize: 3, Zones: []string{"x", "y"}, ClockErrorMs: 50,
@@ -87,7 +87,7 @@
 			}
 			w.Run(40 * time.Second)
 			if !full(50 * time.Second) {
-				t.Errorf("%s: 90 s later red uses %v of 24 processors, its shares %v", name, w.used["red"], w.nodes[0].core.Parted() > 0)
+				t.Errorf("%s: 90 s later red uses %v of 24 processors, its shares %v", name, w.used["red"], w.nodes[0].core.ShardedTeams() > 0)
 			}
 			if owed.begunAt == 0 {
 				t.Errorf("%s: 90 s later %s, within its team's guarantee, has not begun", name, owed.job.ID)
--- a/internal/testkit/simtest/lost_test.go
+++ b/internal/testkit/simtest/lost_test.go
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
-	"fawncove/internal/core/gate"
-	"fawncove/internal/core/step"
+	"fawncove/internal/core/eventloop"
+	"fawncove/internal/core/feature"
 	"fawncove/internal/wire"
 )
 
@@ -29,7 +29,7 @@
 			t.Parallel()
 			w := NewNight(seed)
 			if seed%2 == 0 {
-				w.Begin(gate.Current(), 10*time.Second) // records stand in envelopes
+				w.Begin(feature.Current(), 10*time.Second) // records stand in envelopes
 			}
 			for i := range 75 {
 				w.SubmitNight(i, time.Duration(w.rng.IntN(120))*time.Second)
@@ -52,7 +52,7 @@
 				victim, wait := w.anyOf(), time.Duration(w.rng.IntN(2000))*time.Millisecond
 				var look func()
 				look = func() {
-					if _, stored := w.nodes[victim].core.Rebuilding(); stored {
+					if _, stored := w.nodes[victim].core.Recovering(); stored {
 						w.after(wait, func() { w.Crash(victim, time.Duration(50+w.rng.IntN(5000))*time.Millisecond) })
 					} else if w.now < at+time.Minute {
 						w.after(50*time.Millisecond, look)
@@ -145,7 +145,7 @@
 func TestCutOffBesideLoss(t *testing.T) {
 	for back := 20 * time.Millisecond; back < 9*time.Second; back += 20*time.Millisecond + back/5 {
 		w := NewNight(1)
-		w.Begin(gate.Current(), time.Hour)
+		w.Begin(feature.Current(), time.Hour)
 		for i := range 10 {
 			w.SubmitNight(i, time.Duration(i)*time.Second)
 		}
@@ -163,7 +163,7 @@
 		w.after(8*time.Second-(w.now-42*time.Second)-2*time.Second, func() { w.LoseState(w.now - u.acceptedAt + 50*time.Millisecond) })
 		var ask func()
 		ask = func() {
-			w.nodes[victim].ask(func(req uint64) step.Event { return step.PollIn{Req: req, ID: u.job.ID} }, func(r step.Reply) {
+			w.nodes[victim].ask(func(req uint64) eventloop.Event { return eventloop.QueryRequest{Req: req, ID: u.job.ID} }, func(r eventloop.Reply) {
 				if r.Status == 404 {
 					w.breakRule("forgotten: %s gets 404", u.job.ID)
 				}
--- a/internal/testkit/simtest/meeting_test.go
+++ b/internal/testkit/simtest/meeting_test.go
@@ -10,8 +10,8 @@
 
 	"fawncove/internal/config"
 	"fawncove/internal/core/cluster"
-	"fawncove/internal/core/gate"
-	"fawncove/internal/core/step"
+	"fawncove/internal/core/eventloop"
+	"fawncove/internal/core/feature"
 	"fawncove/internal/wire"
 )
 
@@ -25,13 +25,13 @@
 	nodes := []int{2, 3, 5, 9}[seed%4]
 	par := cluster.Defaults()
 	if seed/4%2 == 0 {
-		par.Pack = 0
+		par.SinglePartitionBelow = 0
 	}
 	if seed/8%2 == 0 {
-		par.Home = 0
+		par.ShardLimitedAbove = 0
 	}
 	if seed/16%2 == 0 {
-		par.Move = time.Second
+		par.MoveJobAfter = time.Second
 	}
 	w := build(seed, nodes, 90, par, config.Cluster{
 		InitialSize: nodes, Zones: []string{"x", "y"}, ClockErrorMs: 100,
@@ -41,7 +41,7 @@
 		Cloud:   config.Cloud{RPS: 5, ListLagS: 6},
 	})
 	if seed%2 == 0 {
-		w.Begin(gate.Current(), 10*time.Second)
+		w.Begin(feature.Current(), 10*time.Second)
 	}
 	return w
 }
@@ -65,7 +65,7 @@
 func (w *World) busiest() int {
 	best := 0
 	for i, n := range w.nodes {
-		if n.up && (!w.nodes[best].up || n.core.Holds() > w.nodes[best].core.Holds()) {
+		if n.up && (!w.nodes[best].up || n.core.MachineCount() > w.nodes[best].core.MachineCount()) {
 			best = i
 		}
 	}
@@ -179,7 +179,7 @@
 		for i := range 4 {
 			w.after(time.Duration(i)*d/6, func() {
 				if n := w.nodes[w.leading()]; n.up && w.now >= n.frozen {
-					n.step(step.Leave{})
+					n.step(eventloop.Shutdown{})
 					w.after(300*time.Millisecond+w.within(2*time.Second), func() { w.Crash(w.index(n.name), w.within(time.Second)) })
 				}
 			})
--- a/internal/testkit/simtest/model_test.go
+++ b/internal/testkit/simtest/model_test.go
@@ -10,8 +10,8 @@
 
 	"fawncove/internal/config"
 	"fawncove/internal/core/cluster"
-	"fawncove/internal/core/gate"
-	"fawncove/internal/core/step"
+	"fawncove/internal/core/eventloop"
+	"fawncove/internal/core/feature"
 	"fawncove/internal/wire"
 )
 
@@ -85,7 +85,7 @@
 	}
 	w.Run(3 * time.Second)
 	for i, n := range w.nodes {
-		if n.core.Holds() > 0 {
+		if n.core.MachineCount() > 0 {
 			owner = i
 		}
 	}
@@ -95,7 +95,7 @@
 // cancelThrough asks one controller to cancel the job until it has.
 func (u *user) cancelThrough(n *simNode) {
 	answered := false
-	again := func(r step.Reply) {
+	again := func(r eventloop.Reply) {
 		if answered {
 			return
 		}
@@ -105,11 +105,11 @@
 			u.w.after(500*time.Millisecond, func() { u.cancelThrough(n) })
 		}
 	}
-	again = u.judged(n, step.CancelIn{ID: u.job.ID}, again)
+	again = u.judged(n, eventloop.CancelRequest{ID: u.job.ID}, again)
 	u.wantsCancel = true
-	u.w.after(3*time.Second, func() { again(step.Reply{}) })
-	n.ask(func(req uint64) step.Event { return step.CancelIn{Req: req, ID: u.job.ID} },
-		func(r step.Reply) { u.w.after(2*time.Millisecond, func() { again(r) }) })
+	u.w.after(3*time.Second, func() { again(eventloop.Reply{}) })
+	n.ask(func(req uint64) eventloop.Event { return eventloop.CancelRequest{Req: req, ID: u.job.ID} },
+		func(r eventloop.Reply) { u.w.after(2*time.Millisecond, func() { again(r) }) })
 }
 
 // play runs a course, with a user who holds the service to this cancel_s, and
@@ -234,7 +234,7 @@
 		"one is cut off":        {func(w *World, i int) { w.Isolate(i, 90*time.Second) }, false},
 		"one is gone":           {func(w *World, i int) { w.Crash(i, 90*time.Second) }, false},
 		"one is back at once":   {func(w *World, i int) { w.Crash(i, 200*time.Millisecond) }, false},
-		"one is an earlier one": {func(w *World, i int) { w.Install(i, gate.Range{}, 200*time.Millisecond) }, false},
+		"one is an earlier one": {func(w *World, i int) { w.Install(i, feature.Range{}, 200*time.Millisecond) }, false},
 	} {
 		w, holder := serviceNight(t, 1)
 		w.Outage(90*time.Second, "")
--- a/internal/testkit/simtest/move_meeting_test.go
+++ b/internal/testkit/simtest/move_meeting_test.go
@@ -22,7 +22,7 @@
 // that a task of minutes keeps (16, 20).
 func TestNobodyWaitsBesideAnothersRoom(t *testing.T) {
 	par := cluster.Defaults()
-	par.Pack = 0
+	par.SinglePartitionBelow = 0
 	for _, seed := range []uint64{6, 12, 16, 17, 20, 25, 26, 30, 59} {
 		w := fullFleet(seed, par)
 		w.night.calmAt = 30 * time.Second
@@ -40,7 +40,7 @@
 func TestMovesMeetTroubles(t *testing.T) {
 	moves := 0
 	par := cluster.Defaults()
-	par.Pack, par.Move = 0, 0
+	par.SinglePartitionBelow, par.MoveJobAfter = 0, 0
 	for seed := *first; seed < *first+*moving; seed++ {
 		w := fullFleet(seed, par)
 		d := 40 * time.Second
@@ -74,7 +74,7 @@
 			t.Run(fmt.Sprintf("%v, %s", late, trouble), func(t *testing.T) {
 				t.Parallel()
 				par := cluster.Defaults()
-				par.Pack, par.Move = 0, 0
+				par.SinglePartitionBelow, par.MoveJobAfter = 0, 0
 				moves := 0
 				for _, seed := range []uint64{12, 17} {
 					w := fullFleet(seed, par)
--- a/internal/testkit/simtest/neglect_meeting_test.go
+++ b/internal/testkit/simtest/neglect_meeting_test.go
@@ -7,7 +7,7 @@
 
 	"fawncove/internal/config"
 	"fawncove/internal/core/cluster"
-	"fawncove/internal/core/gate"
+	"fawncove/internal/core/feature"
 	"fawncove/internal/wire"
 )
 
@@ -23,7 +23,7 @@
 		State:   config.State{RPS: 150, WriteRPS: 50, ValueKB: 8, TxnOps: 12},
 		Cloud:   config.Cloud{RPS: 5, ListLagS: 6},
 	})
-	w.Begin(gate.Current(), 10*time.Second)
+	w.Begin(feature.Current(), 10*time.Second)
 	for i := range 60 {
 		u := w.SubmitNight(i, w.within(200*time.Second))
 		j := &u.job
--- a/internal/testkit/simtest/night.go
+++ b/internal/testkit/simtest/night.go
@@ -9,7 +9,7 @@
 
 	"fawncove/internal/config"
 	"fawncove/internal/core/cluster"
-	"fawncove/internal/core/step"
+	"fawncove/internal/core/eventloop"
 	"fawncove/internal/wire"
 )
 
@@ -55,7 +55,7 @@
 	if !w.night.knowersLive || w.store.lostAt == 0 {
 		return false
 	}
-	underWay, stored := n.core.Rebuilding()
+	underWay, stored := n.core.Recovering()
 	return w.now-w.store.lostAt < time.Second || (underWay && !stored)
 }
 
@@ -81,10 +81,10 @@
 	nodes := []int{3, 5, 9}[seed%3]
 	par := cluster.Defaults()
 	if seed%2 == 0 {
-		par.Pack = 0
+		par.SinglePartitionBelow = 0
 	}
 	if seed%4 == 2 {
-		par.Home = 0
+		par.ShardLimitedAbove = 0
 	}
 	return build(seed, nodes, 150, par, config.Cluster{
 		InitialSize: nodes, Zones: []string{"x", "y"}, ClockErrorMs: 100,
@@ -129,7 +129,7 @@
 	late := time.Duration(w.rng.Float64() * 3 * float64(config.Seconds(w.cfg.Workers.LeaseS)))
 	n := w.nodes[w.rng.IntN(len(w.nodes))]
 	w.after(late, func() {
-		n.ask(func(req uint64) step.Event { return step.ReportIn{Req: req, Report: r} }, func(step.Reply) {})
+		n.ask(func(req uint64) eventloop.Event { return eventloop.HeartbeatRequest{Req: req, Heartbeat: r} }, func(eventloop.Reply) {})
 	})
 }
 
--- a/internal/testkit/simtest/night_test.go
+++ b/internal/testkit/simtest/night_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"fawncove/internal/core/step"
+	"fawncove/internal/core/eventloop"
 	"fawncove/internal/wire"
 )
 
@@ -171,7 +171,7 @@
 func (w *World) holder(t *testing.T) int {
 	t.Helper()
 	for i, n := range w.nodes {
-		if n.core.Holds() > 0 && n.core.Holds() == w.held() {
+		if n.core.MachineCount() > 0 && n.core.MachineCount() == w.held() {
 			return i
 		}
 	}
@@ -242,7 +242,7 @@
 	w.Desert(holder, 100*time.Second)
 	starts := w.Starts
 	w.Run(25 * time.Second)
-	if n := w.nodes[holder].core.Holds(); n > 0 || w.held() == 0 {
+	if n := w.nodes[holder].core.MachineCount(); n > 0 || w.held() == 0 {
 		t.Errorf("after 25 s it holds %d machines, all together %d", n, w.held())
 	}
 	w.Run(100 * time.Second)
@@ -266,8 +266,8 @@
 	}
 	var status int
 	asked, answered := w.now, time.Duration(0)
-	n.ask(func(req uint64) step.Event { return step.PollIn{Req: req, ID: "wk-000001"} },
-		func(r step.Reply) { status, answered = r.Status, w.now-asked })
+	n.ask(func(req uint64) eventloop.Event { return eventloop.QueryRequest{Req: req, ID: "wk-000001"} },
+		func(r eventloop.Reply) { status, answered = r.Status, w.now-asked })
 	w.Run(time.Second)
 	if status != 503 || answered > 100*time.Millisecond {
 		t.Errorf("a user gets %d after %v, want 503 at once", status, answered)
@@ -284,7 +284,7 @@
 	if again := w.Starts - starts - u.job.Tasks; again > 0 {
 		t.Errorf("%d tasks were started again", again)
 	}
-	if n.core.Holds() > 0 && w.held() == n.core.Holds() {
+	if n.core.MachineCount() > 0 && w.held() == n.core.MachineCount() {
 		t.Error("it got everything back by itself")
 	}
 }
@@ -307,7 +307,7 @@
 	others := 0
 	for _, n := range w.nodes {
 		if w.now >= n.frozen {
-			others += n.core.Holds()
+			others += n.core.MachineCount()
 		}
 	}
 	if others == 0 {
--- a/internal/testkit/simtest/odd_requests_test.go
+++ b/internal/testkit/simtest/odd_requests_test.go
@@ -6,14 +6,14 @@
 	"time"
 
 	"fawncove/internal/core/cluster"
-	"fawncove/internal/core/step"
+	"fawncove/internal/core/eventloop"
 	"fawncove/internal/wire"
 )
 
 // oddRequest is a request that a user should not make, and how it is answered by who
 // is sure: by a status and, for 200, a state.
 type oddRequest struct {
-	ev     step.Event
+	ev     eventloop.Event
 	status int
 	state  string
 	always bool // who knows nothing is as sure of it
@@ -23,7 +23,7 @@
 // and wk-000003, which is cancelled. wk-000009 was never accepted.
 func oddRequests(t *testing.T) map[string]oddRequest {
 	t.Helper()
-	submit := func(id string, change map[string]any) step.Event {
+	submit := func(id string, change map[string]any) eventloop.Event {
 		body := map[string]any{"uid": id, "vrstaPosla": "c", "vlasnik": "red", "oblik": "array", "hitnost": "urgent", "komadi": 2,
 			"vcpus": 1.0, "cards": 0.0, "memoryGb": 2.0, "otisak": "img-1", "pullGb": 1.0, "samePlace": false, "scatter": false,
 			"posudba": true, "procjenaS": 8.0, "biljegS": 0.0, "spremanjeS": 0.0}
@@ -39,19 +39,19 @@
 			t.Fatal(err)
 		}
 		job, err := wire.ParseJob(raw)
-		return step.SubmitIn{Job: job, Err: err}
+		return eventloop.SubmitRequest{Job: job, Err: err}
 	}
 	const running, done, cancelled, nobodys = "wk-000001", "wk-000002", "wk-000003", "wk-000009"
 	list := map[string]oddRequest{
 		"submission without an id":           {submit(nobodys, map[string]any{"uid": nil}), 400, "", true},
 		"submission with an id of its own":   {submit(nobodys, map[string]any{"uid": "job-9"}), 400, "", true},
-		"submission of no map":               {step.SubmitIn{Err: fmt.Errorf("not a map with text keys")}, 400, "", true},
-		"cancellation of an impossible id":   {step.CancelIn{ID: "job-9"}, 404, "", true},
-		"question for an impossible id":      {step.PollIn{ID: "wk-9"}, 404, "", true},
-		"cancellation of what nobody sent":   {step.CancelIn{ID: nobodys}, 404, "", false},
-		"question for what nobody sent":      {step.PollIn{ID: nobodys}, 404, "", false},
-		"cancellation of what is done":       {step.CancelIn{ID: done}, 200, wire.Done, false},
-		"cancellation once more":             {step.CancelIn{ID: cancelled}, 200, wire.Cancelled, false},
+		"submission of no map":               {eventloop.SubmitRequest{Err: fmt.Errorf("not a map with text keys")}, 400, "", true},
+		"cancellation of an impossible id":   {eventloop.CancelRequest{ID: "job-9"}, 404, "", true},
+		"question for an impossible id":      {eventloop.QueryRequest{ID: "wk-9"}, 404, "", true},
+		"cancellation of what nobody sent":   {eventloop.CancelRequest{ID: nobodys}, 404, "", false},
+		"question for what nobody sent":      {eventloop.QueryRequest{ID: nobodys}, 404, "", false},
+		"cancellation of what is done":       {eventloop.CancelRequest{ID: done}, 200, wire.Done, false},
+		"cancellation once more":             {eventloop.CancelRequest{ID: cancelled}, 200, wire.Cancelled, false},
 		"a count that is a text":             {submit(nobodys, map[string]any{"komadi": "2"}), 400, "", false},
 		"no tasks":                           {submit(nobodys, map[string]any{"komadi": 0}), 400, "", false},
 		"too many tasks":                     {submit(nobodys, map[string]any{"komadi": wire.MaxTasks + 1}), 400, "", false},
@@ -125,7 +125,7 @@
 			for _, name := range cluster.SortedKeys(list) {
 				x := list[name]
 				asked := w.now
-				n.ask(func(req uint64) step.Event { return withReq(x.ev, req) }, func(r step.Reply) {
+				n.ask(func(req uint64) eventloop.Event { return withReq(x.ev, req) }, func(r eventloop.Reply) {
 					answers[phase][r.Status]++
 					a, _ := r.Body.(wire.JobAnswer)
 					right := r.Status == x.status && a.State == x.state
--- a/internal/testkit/simtest/rollout_test.go
+++ b/internal/testkit/simtest/rollout_test.go
@@ -11,8 +11,8 @@
 
 	"fawncove/internal/config"
 	"fawncove/internal/core/cluster"
-	"fawncove/internal/core/gate"
-	"fawncove/internal/core/step"
+	"fawncove/internal/core/eventloop"
+	"fawncove/internal/core/feature"
 	"fawncove/internal/upgrade"
 	"fawncove/internal/wire"
 )
@@ -20,10 +20,10 @@
 // before is a version from before levels, first one that knows only the first
 // level, later one for which the cluster must have come to level 2.
 var (
-	before = gate.Range{}
-	middle = gate.Range{Newest: 1}
-	newest = gate.Current()
-	later  = gate.Range{Oldest: 2, Newest: 3}
+	before = feature.Range{}
+	middle = feature.Range{Newest: 1}
+	newest = feature.Current()
+	later  = feature.Range{Oldest: 2, Newest: 3}
 )
 
 // rollout is a day on which controllers are replaced one after the other.
@@ -33,13 +33,13 @@
 	raise time.Duration
 }
 
-func newRollout(t *testing.T, w *World, from gate.Range, raise time.Duration) *rollout {
+func newRollout(t *testing.T, w *World, from feature.Range, raise time.Duration) *rollout {
 	w.Begin(from, raise)
 	return &rollout{w, t, raise}
 }
 
 // roll replaces all controllers by another version, in some order, from at on.
-func (r *rollout) roll(at time.Duration, to gate.Range) {
+func (r *rollout) roll(at time.Duration, to feature.Range) {
 	for k, i := range r.rng.Perm(len(r.nodes)) {
 		d := at + time.Duration(k)*time.Duration(4000+r.rng.IntN(6000))*time.Millisecond
 		r.after(d, func() { r.Install(i, to, time.Duration(1000+r.rng.IntN(3000))*time.Millisecond) })
@@ -63,7 +63,7 @@
 }
 
 // level is what controller 0 has read.
-func (r *rollout) level() gate.State { return r.nodes[0].core.Levels() }
+func (r *rollout) level() feature.State { return r.nodes[0].core.Levels() }
 
 // world plays small days, and large ones with nine controllers, shares and pages
 // among them.
@@ -105,7 +105,7 @@
 				})
 			}
 			r.finish(560 * time.Second)
-			if st := r.level(); st.Level != gate.Newest || st.Confirmed != gate.Newest {
+			if st := r.level(); st.Level != feature.Newest || st.Confirmed != feature.Newest {
 				t.Errorf("at %+v long after the rollout: %v", st, w.waits())
 			}
 			if jobs, pages := w.plainRecords(); jobs+pages > 0 {
@@ -176,11 +176,11 @@
 // the others go on. So does a version that needs a level which is not reached.
 func TestOldComesBack(t *testing.T) {
 	for name, c := range map[string]struct {
-		cluster, comes gate.Range
-		level          gate.Level
+		cluster, comes feature.Range
+		level          feature.Level
 	}{
-		"from before levels": {newest, before, gate.Newest},
-		"one level behind":   {newest, middle, gate.Newest},
+		"from before levels": {newest, before, feature.Newest},
+		"one level behind":   {newest, middle, feature.Newest},
 		"skips a version":    {middle, later, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -194,11 +194,11 @@
 			w.Install(1, c.comes, time.Second)
 			for range 20 {
 				w.Run(3 * time.Second)
-				if n := w.nodes[1]; n.up && (n.core.Healthy() || n.core.Holds() > 0) {
-					t.Fatalf("healthy %v, holds %d machines", n.core.Healthy(), n.core.Holds())
+				if n := w.nodes[1]; n.up && (n.core.Healthy() || n.core.MachineCount() > 0) {
+					t.Fatalf("healthy %v, holds %d machines", n.core.Healthy(), n.core.MachineCount())
 				}
 			}
-			if c.comes.Gated() && w.nodes[1].core.Refused() == nil {
+			if c.comes.KnowsLevels() && w.nodes[1].core.Incompatible() == nil {
 				t.Error("does not say that it refuses")
 			}
 			r.finish(400 * time.Second)
@@ -246,10 +246,10 @@
 			case "older", "one too old":
 				w.Install(victim, newest, time.Second)
 			case "no word given":
-				w.word(wire.OperatorRequest{Form: 1, TargetLevel: uint32(gate.Newest), HoldLevel: true})
+				w.word(wire.OperatorRequest{Form: 1, TargetLevel: uint32(feature.Newest), HoldLevel: true})
 			}
 			r.finish(500 * time.Second)
-			if st := r.level(); st.Confirmed != gate.Newest {
+			if st := r.level(); st.Confirmed != feature.Newest {
 				t.Errorf("at %+v at the end: %v", st, w.waits())
 			}
 		})
@@ -274,7 +274,7 @@
 // takeovers in between: each once, at most a fifth of the write limit together.
 func TestRewriteLeavesRoom(t *testing.T) {
 	w := New(8)
-	w.par.Home, w.par.Pack = 0, 0
+	w.par.ShardLimitedAbove, w.par.SinglePartitionBelow = 0, 0
 	r := newRollout(t, w, middle, time.Second)
 	w.Run(20 * time.Second)
 	const jobs = 1500
@@ -282,8 +282,8 @@
 		// Jobs that wait: nothing fits them, so they are only records.
 		rec := wire.JobRecord{Job: wire.Job{ID: fmt.Sprintf("wk-%06d", 100000+i), Class: "w", Team: "free", Shape: wire.Array, Priority: "idle",
 			Tasks: 1, CPUs: 8, MemoryGB: 1000, Image: "img-0"}, Owner: "n0"}
-		for _, part := range cluster.Parts(w.nodes[0].core.Homes(), "free") {
-			if i%3 == slices.Index(cluster.Parts(w.nodes[0].core.Homes(), "free"), part) {
+		for _, part := range cluster.Shards(w.nodes[0].core.Partitions(), "free") {
+			if i%3 == slices.Index(cluster.Shards(w.nodes[0].core.Partitions(), "free"), part) {
 				rec.Shard = part
 			}
 		}
@@ -337,12 +337,12 @@
 			for i := range w.nodes {
 				w.after(time.Duration(40+12*i)*time.Second, func() {
 					n, life, led := w.nodes[i], w.nodes[i].life, w.nodes[i].name == w.leader()
-					n.step(step.Leave{})
+					n.step(eventloop.Shutdown{})
 					if n.core.Healthy() {
 						t.Error("healthy while it leaves")
 					}
 					w.after(2500*time.Millisecond, func() {
-						if n.life == life && !n.core.Left() {
+						if n.life == life && !n.core.HandedOver() {
 							t.Errorf("%s (led: %v) has not left after 2.5 s", n.name, led)
 						}
 						w.Install(i, newest, 2*time.Second)
@@ -402,7 +402,7 @@
 		if led := w.leader(); len(steps) > 1 && slices.Index(steps, led) != len(steps)-1 && slices.Contains(steps, led) {
 			t.Errorf("%s leads and is not the last of %v", led, steps)
 		}
-		if lacking := look().CannotFollow(gate.Newest); len(lacking) == 0 {
+		if lacking := look().CannotFollow(feature.Newest); len(lacking) == 0 {
 			t.Error("all can follow, with earlier versions there")
 		}
 		i := slices.IndexFunc(w.nodes, func(n *simNode) bool { return n.name == steps[0] })
@@ -420,13 +420,13 @@
 	if steps := p.Steps(version); len(steps) > 0 || len(p.Versions()) != 1 || p.Settled() {
 		t.Errorf("to go %v, versions %v, settled %v", steps, p.Versions(), p.Settled())
 	}
-	if lacking := p.CannotFollow(gate.Newest); len(lacking) > 0 {
+	if lacking := p.CannotFollow(feature.Newest); len(lacking) > 0 {
 		t.Fatal(lacking)
 	}
-	if err := p.Ask(ctx, reader{w}, gate.Word{Level: gate.Newest}, epoch); err != nil {
+	if err := p.Ask(ctx, reader{w}, feature.OperatorRequest{TargetLevel: feature.Newest}, epoch); err != nil {
 		t.Fatal(err)
 	}
-	if err := q.Ask(ctx, reader{w}, gate.Word{Hold: true}, epoch); !errors.Is(err, upgrade.ErrChanged) {
+	if err := q.Ask(ctx, reader{w}, feature.OperatorRequest{Hold: true}, epoch); !errors.Is(err, upgrade.ErrChanged) {
 		t.Errorf("the second of two operators: %v", err)
 	}
 	w.Run(60 * time.Second)
--- a/internal/testkit/simtest/services.go
+++ b/internal/testkit/simtest/services.go
@@ -10,10 +10,10 @@
 	"time"
 
 	"fawncove/internal/core/cluster"
-	"fawncove/internal/core/gate"
+	"fawncove/internal/core/eventloop"
+	"fawncove/internal/core/feature"
 	"fawncove/internal/core/leasevalue"
-	"fawncove/internal/core/rebuild"
-	"fawncove/internal/core/step"
+	"fawncove/internal/core/recovery"
 	"fawncove/internal/wire"
 )
 
@@ -33,7 +33,7 @@
 	node, prefix string
 	after        uint64
 	until        time.Duration
-	answer       func(step.Completed)
+	answer       func(eventloop.Completion)
 }
 
 // store stands in for the state service.
@@ -96,17 +96,17 @@
 }
 
 // guard answers 503 while the service is down.
-func (s *store) guard(node string, f func() step.Completed) func(func(step.Completed)) {
-	return func(answer func(step.Completed)) {
+func (s *store) guard(node string, f func() eventloop.Completion) func(func(eventloop.Completion)) {
+	return func(answer func(eventloop.Completion)) {
 		if s.down(node) {
-			answer(step.Completed{Status: 503})
+			answer(eventloop.Completion{Status: 503})
 			return
 		}
 		answer(f())
 	}
 }
 
-func (s *store) txn(t wire.Txn) step.Completed {
+func (s *store) txn(t wire.Txn) eventloop.Completion {
 	var failed []string
 	for _, c := range t.If {
 		if s.values[c.Key].version != c.Version {
@@ -114,13 +114,13 @@
 		}
 	}
 	if len(failed) > 0 {
-		return step.Completed{Status: 409, Txn: wire.TxnAnswer{Failed: failed, Revision: s.rev}}
+		return eventloop.Completion{Status: 409, Txn: wire.TxnAnswer{Failed: failed, Revision: s.rev}}
 	}
 	if s.w.now-s.w.filled >= time.Second {
 		s.w.filled, s.w.writes = s.w.now, s.w.cfg.State.WriteRPS
 	}
 	if s.w.writes -= float64(len(t.Then)); s.w.writes < 0 && len(t.Then) > 0 {
-		return step.Completed{Status: 429}
+		return eventloop.Completion{Status: 429}
 	}
 	if len(t.Then) > s.w.cfg.State.TxnOps || len(t.If) > 4*s.w.cfg.State.TxnOps {
 		s.w.breakRule("transaction too large: %d conditions, %d changes", len(t.If), len(t.Then))
@@ -152,18 +152,18 @@
 		}
 	}
 	s.wake()
-	return step.Completed{Status: 200, Txn: wire.TxnAnswer{Revision: s.rev}}
+	return eventloop.Completion{Status: 200, Txn: wire.TxnAnswer{Revision: s.rev}}
 }
 
-func (s *store) get(key string) step.Completed {
+func (s *store) get(key string) eventloop.Completion {
 	v, ok := s.values[key]
 	if !ok {
-		return step.Completed{Status: 404}
+		return eventloop.Completion{Status: 404}
 	}
-	return step.Completed{Status: 200, Pair: wire.Pair{Key: key, Value: v.data, Version: v.version}}
+	return eventloop.Completion{Status: 200, Pair: wire.Pair{Key: key, Value: v.data, Version: v.version}}
 }
 
-func (s *store) page(prefix, after string) step.Completed {
+func (s *store) page(prefix, after string) eventloop.Completion {
 	p := wire.Page{Revision: s.rev}
 	for _, key := range slices.Sorted(maps.Keys(s.values)) {
 		if !strings.HasPrefix(key, prefix) || key <= after {
@@ -176,16 +176,16 @@
 		v := s.values[key]
 		p.Pairs = append(p.Pairs, wire.Pair{Key: key, Value: v.data, Version: v.version})
 	}
-	return step.Completed{Status: 200, Page: p}
+	return eventloop.Completion{Status: 200, Page: p}
 }
 
-func (s *store) watch(node, prefix string, after uint64, until time.Duration, answer func(step.Completed)) {
+func (s *store) watch(node, prefix string, after uint64, until time.Duration, answer func(eventloop.Completion)) {
 	if s.down(node) {
-		answer(step.Completed{Status: 503})
+		answer(eventloop.Completion{Status: 503})
 		return
 	}
 	if s.rev-min(after, s.rev) > 400 { // the real service keeps more
-		answer(step.Completed{Status: 410})
+		answer(eventloop.Completion{Status: 410})
 		return
 	}
 	s.waiters = append(s.waiters, &waiter{node, prefix, after, until, answer})
@@ -212,7 +212,7 @@
 			keep = append(keep, x)
 			continue
 		}
-		x.answer(step.Completed{Status: 200, Watch: c})
+		x.answer(eventloop.Completion{Status: 200, Changes: c})
 	}
 	s.waiters = keep
 }
@@ -232,9 +232,9 @@
 	outage  time.Duration // it refuses everything until then
 }
 
-func (c *simCloud) rent(r wire.InstanceRequest) step.Completed {
+func (c *simCloud) rent(r wire.InstanceRequest) eventloop.Completion {
 	if names, ok := c.answers[r.ID]; ok {
-		return step.Completed{Status: 200, Names: names}
+		return eventloop.Completion{Status: 200, Names: names}
 	}
 	live := 0
 	for _, k := range c.w.workers {
@@ -244,7 +244,7 @@
 	}
 	n := min(r.Count, c.w.most-live)
 	if n <= 0 || c.w.rng.IntN(6) == 0 {
-		return step.Completed{Status: 503}
+		return eventloop.Completion{Status: 503}
 	}
 	var names []string
 	for range n {
@@ -272,11 +272,11 @@
 		c.w.after(boot, k.begin)
 	}
 	c.answers[r.ID] = names
-	return step.Completed{Status: 200, Names: names}
+	return eventloop.Completion{Status: 200, Names: names}
 }
 
 // list shows machines some seconds late.
-func (c *simCloud) list() step.Completed {
+func (c *simCloud) list() eventloop.Completion {
 	lag := time.Duration(c.w.rng.IntN(8000)) * time.Millisecond
 	var l wire.MachineList
 	for _, name := range slices.Sorted(maps.Keys(c.w.workers)) {
@@ -295,7 +295,7 @@
 		l.Machines = append(l.Machines, wire.Machine{Name: name, Endpoint: k.endpoint, Type: k.kind, Zone: k.zone,
 			Spot: k.spot, State: state, AgeS: age.Seconds()})
 	}
-	return step.Completed{Status: 200, List: l}
+	return eventloop.Completion{Status: 200, Machines: l}
 }
 
 // kill ends a machine with all that is on it.
@@ -333,10 +333,10 @@
 			w.breakRule("%s is stored %d times", key, w.store.ends[key])
 		}
 	}
-	if !slices.ContainsFunc(gate.Inventory(), func(f gate.Form) bool { return strings.HasPrefix(key, f.Name) }) {
+	if !slices.ContainsFunc(feature.Inventory(), func(f feature.FormInfo) bool { return strings.HasPrefix(key, f.Name) }) {
 		w.breakRule("%s is not in the inventory of forms", key)
 	}
-	if key == rebuild.Key {
+	if key == recovery.Key {
 		w.seeGeneration(data)
 	}
 	if key != leasevalue.Key {
@@ -353,27 +353,27 @@
 	}
 	w.seeShares(v.CPUs)
 	w.ledBy(v.Leader, v.Grants)
-	if gate.Level(v.Level) < w.level {
+	if feature.Level(v.Level) < w.level {
 		w.breakRule("level went back from %d to %d", w.level, v.Level)
 	}
-	if gate.Level(v.Level) > w.level && w.edge == nil { // what processes run is not known here
+	if feature.Level(v.Level) > w.level && w.edge == nil { // what processes run is not known here
 		for _, n := range w.nodes {
-			if (!n.up || n.rolls.Follow(gate.Level(v.Level)) != nil) && w.now-n.since > raiseBlind {
+			if (!n.up || n.rolls.Follow(feature.Level(v.Level)) != nil) && w.now-n.since > raiseBlind {
 				w.breakRule("raised to level %d without %s", v.Level, n.name)
 			}
 		}
 	}
-	w.level = gate.Level(v.Level)
+	w.level = feature.Level(v.Level)
 }
 
 // seeGeneration notes how far a rebuild is. Nothing else may look like a loss.
 func (w *World) seeGeneration(data []byte) {
-	g, err := rebuild.Decode(data)
+	g, err := recovery.Decode(data)
 	switch {
 	case err != nil:
 		w.breakRule("generation: %v", err)
 	case w.store.lostAt == 0:
-		w.breakRule("%s takes the state for one that has lost data", g.By)
+		w.breakRule("%s takes the state for one that has lost data", g.Controller)
 	case g.Rebuilding && w.noticedAt < w.store.lostAt:
 		w.noticedAt = w.now
 	case !g.Rebuilding:
@@ -382,7 +382,7 @@
 }
 
 // raiseBlind is for how long a leader may not know that a controller is gone.
-const raiseBlind = cluster.LinkDead + 2*time.Second
+const raiseBlind = cluster.PeerTimeout + 2*time.Second
 
 // plainRecords counts the records of jobs and pages that are in an earlier form.
 func (w *World) plainRecords() (jobs, pages int) {
--- a/internal/testkit/simtest/world.go
+++ b/internal/testkit/simtest/world.go
@@ -24,9 +24,9 @@
 	"fawncove/internal/config"
 	"fawncove/internal/core/cluster"
 	"fawncove/internal/core/controller"
-	"fawncove/internal/core/gate"
+	"fawncove/internal/core/eventloop"
+	"fawncove/internal/core/feature"
 	"fawncove/internal/core/owner"
-	"fawncove/internal/core/step"
 	"fawncove/internal/wire"
 )
 
@@ -56,10 +56,10 @@
 	doomed   []*user            // cancelled, and perhaps still running somewhere
 	Starts   int
 	Dones    int
-	moves    int        // of homes between controllers that live
-	jobMoves int        // of jobs to other homes
-	level    gate.Level // of the cluster, as stored
-	edge     Edge       // of a world whose controllers are processes; else nil
+	moves    int           // of homes between controllers that live
+	jobMoves int           // of jobs to other homes
+	level    feature.Level // of the cluster, as stored
+	edge     Edge          // of a world whose controllers are processes; else nil
 	// Of the last loss of state: when it was noticed, made good, and when the next
 	// task started.
 	noticedAt, rebuiltAt, startedAt time.Duration
@@ -115,7 +115,7 @@
 func New(seed uint64) *World {
 	par := cluster.Defaults()
 	if seed%2 == 0 {
-		par.Pack = 0
+		par.SinglePartitionBelow = 0
 	}
 	return build(seed, 3, 10, par, config.Cluster{
 		InitialSize: 3, Zones: []string{"x", "y"}, ClockErrorMs: 50,
@@ -137,7 +137,7 @@
 		nodes = 9
 	}
 	if seed%2 == 1 {
-		par.Home = 0
+		par.ShardLimitedAbove = 0
 		state = config.State{RPS: 80, WriteRPS: 40, ValueKB: 2, TxnOps: 8}
 	}
 	return build(seed, nodes, 1200, par, config.Cluster{
@@ -304,13 +304,13 @@
 	zone   string
 	rate   float64 // of its steady clock
 	core   *controller.Core
-	life   int        // counts the processes
-	rolls  gate.Range // levels of the version that is installed
+	life   int           // counts the processes
+	rolls  feature.Range // levels of the version that is installed
 	up     bool
 	slow   time.Duration // until then everything takes it long
 	frozen time.Duration // until then it stands still
 	since  time.Duration // when the process began, or ended
-	waits  map[uint64]func(step.Reply)
+	waits  map[uint64]func(eventloop.Reply)
 	next   uint64
 }
 
@@ -327,7 +327,7 @@
 	}
 	n.life++
 	n.up, n.since = true, n.w.now
-	n.waits = map[uint64]func(step.Reply){}
+	n.waits = map[uint64]func(eventloop.Reply){}
 	par := n.w.par
 	par.Levels, par.Version = n.rolls, fmt.Sprintf("up to level %d", n.rolls.Newest)
 	n.core = controller.New(s, par, slog.New(moveCounter{slog.DiscardHandler, n.w}), uint64(n.clock().UnixMilli()))
@@ -335,7 +335,7 @@
 	var tick func()
 	tick = func() {
 		if n.up && n.life == life {
-			n.step(step.Tick{})
+			n.step(eventloop.Tick{})
 			n.w.after(150*time.Millisecond, tick)
 		}
 	}
@@ -375,7 +375,7 @@
 // Install replaces the version of controller i: its process ends, and is back
 // after d as one that can work under these levels. Range zero is a version from
 // before levels: it tells none, and reads none of the forms that came with them.
-func (w *World) Install(i int, levels gate.Range, d time.Duration) {
+func (w *World) Install(i int, levels feature.Range, d time.Duration) {
 	w.nodes[i].rolls = levels
 	w.Crash(i, d)
 }
@@ -391,9 +391,9 @@
 // Slow makes controller i compute slowly for d.
 func (w *World) Slow(i int, d time.Duration) { w.nodes[i].slow = w.now + d }
 
-func (n *simNode) step(ev step.Event) {
+func (n *simNode) step(ev eventloop.Event) {
 	if n.w.now < n.frozen {
-		if ev != (step.Tick{}) {
+		if ev != (eventloop.Tick{}) {
 			life := n.life
 			n.w.after(n.frozen-n.w.now, func() { n.back(life, ev) })
 		}
@@ -408,10 +408,10 @@
 }
 
 // note adds an effect to the trace.
-func (w *World) note(node string, e step.Effect) {
+func (w *World) note(node string, e eventloop.Effect) {
 	text := fmt.Sprintf("%v %s %s ", w.now, node, reflect.TypeOf(e).Name())
 	body, err := json.Marshal(e)
-	if p, ok := e.(step.PeerSend); ok {
+	if p, ok := e.(eventloop.PeerSend); ok {
 		text += p.To
 		body, err = proto.MarshalOptions{Deterministic: true}.Marshal(p.Frame)
 	}
@@ -422,14 +422,14 @@
 }
 
 // back hands an outcome to the core if its process still lives.
-func (n *simNode) back(life int, ev step.Event) {
+func (n *simNode) back(life int, ev eventloop.Event) {
 	if n.up && n.life == life {
 		n.step(ev)
 	}
 }
 
 // ask hands a request to the core; then gets its reply.
-func (n *simNode) ask(build func(req uint64) step.Event, then func(step.Reply)) {
+func (n *simNode) ask(build func(req uint64) eventloop.Event, then func(eventloop.Reply)) {
 	if !n.up {
 		return
 	}
@@ -442,20 +442,20 @@
 	n.step(build(n.next))
 }
 
-func (n *simNode) carryOut(e step.Effect) {
+func (n *simNode) carryOut(e eventloop.Effect) {
 	w, life := n.w, n.life
 	// call sends a request to a regional service; without an answer in time the
 	// core is told so.
-	call := func(id uint64, state bool, timeout time.Duration, serve func(answer func(step.Completed))) {
+	call := func(id uint64, state bool, timeout time.Duration, serve func(answer func(eventloop.Completion))) {
 		done := false
-		finish := func(c step.Completed) {
+		finish := func(c eventloop.Completion) {
 			if !done {
 				done = true
-				c.ID, c.State = id, state
+				c.ID, c.FromStateService = id, state
 				n.back(life, c)
 			}
 		}
-		w.after(timeout, func() { finish(step.Completed{}) })
+		w.after(timeout, func() { finish(eventloop.Completion{}) })
 		if state {
 			w.store.requests++
 		}
@@ -467,7 +467,7 @@
 			way += time.Duration(w.rng.Float64() * float64(w.night.slow))
 		}
 		w.after(way, func() {
-			serve(func(c step.Completed) {
+			serve(func(c eventloop.Completion) {
 				if w.rng.IntN(400) == 0 {
 					return // the answer is lost
 				}
@@ -485,7 +485,7 @@
 		stateShort = 500 * time.Millisecond
 	}
 	switch e := e.(type) {
-	case step.Reply:
+	case eventloop.Reply:
 		if f := n.waits[e.Req]; f != nil {
 			delete(n.waits, e.Req)
 			// The answer is written a little after it was decided.
@@ -494,7 +494,7 @@
 					return
 				}
 				if !e.Until.IsZero() && !n.clock().Before(e.Until) {
-					e = step.Reply{Req: e.Req, Status: 503}
+					e = eventloop.Reply{Req: e.Req, Status: 503}
 				}
 				if a, ok := e.Body.(wire.HeartbeatAnswer); ok {
 					w.seeStarts(a.Commands)
@@ -502,20 +502,20 @@
 				f(e)
 			})
 		}
-	case step.PeerSend:
+	case eventloop.PeerSend:
 		for _, p := range w.nodes {
 			if p.name == e.To {
 				w.send(n.name, p.name, func() {
 					if p.up {
-						p.step(step.PeerIn{Frame: e.Frame})
+						p.step(eventloop.PeerFrame{Frame: e.Frame})
 					}
 				})
 			}
 		}
-	case step.StateTxn:
-		call(e.ID, true, stateShort, func(answer func(step.Completed)) {
+	case eventloop.StateTxn:
+		call(e.ID, true, stateShort, func(answer func(eventloop.Completion)) {
 			if w.store.down(n.name) {
-				answer(step.Completed{Status: 503})
+				answer(eventloop.Completion{Status: 503})
 			} else if by, late := w.night.lateBy(n.name, e.Txn); late {
 				w.after(by, func() { w.store.txn(e.Txn) })
 			} else if w.night.loses != nil && w.night.loses(n.name, e.Txn) {
@@ -527,34 +527,34 @@
 				answer(w.store.txn(e.Txn))
 			}
 		})
-	case step.StateGet:
-		call(e.ID, true, stateShort, w.store.guard(n.name, func() step.Completed { return w.store.get(e.Key) }))
-	case step.StateRange:
-		call(e.ID, true, stateShort, w.store.guard(n.name, func() step.Completed { return w.store.page(e.Prefix, e.After) }))
-	case step.StateWatch:
-		call(e.ID, true, e.Hold+short, func(answer func(step.Completed)) {
+	case eventloop.StateGet:
+		call(e.ID, true, stateShort, w.store.guard(n.name, func() eventloop.Completion { return w.store.get(e.Key) }))
+	case eventloop.StateRange:
+		call(e.ID, true, stateShort, w.store.guard(n.name, func() eventloop.Completion { return w.store.page(e.Prefix, e.After) }))
+	case eventloop.StateWatch:
+		call(e.ID, true, e.Hold+short, func(answer func(eventloop.Completion)) {
 			w.store.watch(n.name, e.Prefix, e.After, w.now+e.Hold, w.lagging(n.name, answer))
 		})
-	case step.CloudTypes:
-		call(e.ID, false, short, func(answer func(step.Completed)) {
-			answer(step.Completed{Status: 200, Types: wire.MachineTypes{Types: machineTypes}})
+	case eventloop.CloudTypes:
+		call(e.ID, false, short, func(answer func(eventloop.Completion)) {
+			answer(eventloop.Completion{Status: 200, Types: wire.MachineTypes{Types: machineTypes}})
 		})
-	case step.CloudRent:
-		call(e.ID, false, short, func(answer func(step.Completed)) {
+	case eventloop.CloudCreate:
+		call(e.ID, false, short, func(answer func(eventloop.Completion)) {
 			if w.now < w.cloud.outage {
-				answer(step.Completed{Status: 503})
+				answer(eventloop.Completion{Status: 503})
 				return
 			}
 			if w.rng.IntN(30) == 0 {
-				w.after(time.Duration(w.rng.IntN(20))*time.Second, func() { w.cloud.rent(e.Rent) })
+				w.after(time.Duration(w.rng.IntN(20))*time.Second, func() { w.cloud.rent(e.Request) })
 				return
 			}
-			answer(w.cloud.rent(e.Rent))
+			answer(w.cloud.rent(e.Request))
 		})
-	case step.CloudRelease:
-		call(e.ID, false, short, func(answer func(step.Completed)) {
+	case eventloop.CloudDelete:
+		call(e.ID, false, short, func(answer func(eventloop.Completion)) {
 			if w.now < w.cloud.outage {
-				answer(step.Completed{Status: 503})
+				answer(eventloop.Completion{Status: 503})
 				return
 			}
 			w.seeReturned(e.Names)
@@ -562,32 +562,32 @@
 				w.kill(name)
 				delete(w.workers, name)
 			}
-			answer(step.Completed{Status: 200})
+			answer(eventloop.Completion{Status: 200})
 		})
-	case step.CloudList:
-		call(e.ID, false, short, func(answer func(step.Completed)) {
+	case eventloop.CloudList:
+		call(e.ID, false, short, func(answer func(eventloop.Completion)) {
 			if w.now < w.cloud.outage {
-				answer(step.Completed{Status: 503})
+				answer(eventloop.Completion{Status: 503})
 				return
 			}
 			answer(w.cloud.list())
 		})
-	case step.Direct:
+	case eventloop.WorkerCommands:
 		if !n.clock().Before(e.Until) {
-			w.after(0, func() { n.back(life, step.Completed{ID: e.ID, Status: -1}) })
+			w.after(0, func() { n.back(life, eventloop.Completion{ID: e.ID, Status: -1}) })
 			return
 		}
 		w.seeStarts(e.Body.Commands)
 		w.seeToken(n.name, e)
 		done := false
-		finish := func(c step.Completed) {
+		finish := func(c eventloop.Completion) {
 			if !done {
 				done = true
 				c.ID = e.ID
 				n.back(life, c)
 			}
 		}
-		w.after(short, func() { finish(step.Completed{}) })
+		w.after(short, func() { finish(eventloop.Completion{}) })
 		name := workerAt(e.Endpoint)
 		w.send(n.name, name, func() {
 			k := w.workers[name]
@@ -596,7 +596,7 @@
 			}
 			k.whenAwake(func() {
 				status, r := k.commands(e.Body)
-				w.send(name, n.name, func() { finish(step.Completed{Status: status, Report: r}) })
+				w.send(name, n.name, func() { finish(eventloop.Completion{Status: status, Heartbeat: r}) })
 			})
 		})
 	}
@@ -612,7 +612,7 @@
 
 // seeToken breaks a rule when a start is sent with a token above all that its worker has
 // seen: no raise of what the worker has shown makes it void while it is held on its way.
-func (w *World) seeToken(from string, e step.Direct) {
+func (w *World) seeToken(from string, e eventloop.WorkerCommands) {
 	starts := slices.ContainsFunc(e.Body.Commands, func(c wire.Command) bool { return c.Op == wire.CommandStart })
 	if k := w.workers[workerAt(e.Endpoint)]; starts && k != nil && e.Body.Token > k.most {
 		w.breakRule("%s sends a start to %s with token %d, which has seen %d", from, k.name, e.Body.Token, k.most)
@@ -637,12 +637,12 @@
 
 // newsFor is for how long a controller may start tasks without news of cancellations, by
 // a clock that is slow, and what it has decided be on its way.
-const newsFor = owner.StartFresh + 100*time.Millisecond
+const newsFor = owner.StartFreshness + 100*time.Millisecond
 
 // Begin installs a version on all controllers of a world that has not begun, and
 // sets after what time the level is raised.
-func (w *World) Begin(levels gate.Range, raiseAfter time.Duration) {
-	w.par.RaiseAfter = raiseAfter
+func (w *World) Begin(levels feature.Range, raiseAfter time.Duration) {
+	w.par.RaiseLevelAfter = raiseAfter
 	for _, n := range w.nodes {
 		n.rolls = levels
 		n.start()
--- a/internal/testkit/simtest/world_test.go
+++ b/internal/testkit/simtest/world_test.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"fawncove/internal/core/cluster"
-	"fawncove/internal/core/step"
+	"fawncove/internal/core/eventloop"
 	"fawncove/internal/wire"
 )
 
@@ -207,7 +207,7 @@
 				w.Run(5 * time.Second)
 				most = max(most, w.held())
 				for _, n := range w.nodes {
-					form, parted = max(form, n.core.LeaseForm()), max(parted, n.core.Parted())
+					form, parted = max(form, n.core.LeaseForm()), max(parted, n.core.ShardedTeams())
 				}
 			}
 			w.Run(300 * time.Second)
@@ -295,7 +295,7 @@
 	n := 0
 	for _, node := range w.nodes {
 		if node.up {
-			n += node.core.Holds()
+			n += node.core.MachineCount()
 		}
 	}
 	return n
@@ -307,8 +307,8 @@
 	w := New(1)
 	w.Run(5 * time.Second)
 	ask := func() (status int) {
-		w.nodes[0].ask(func(req uint64) step.Event { return step.PollIn{Req: req, ID: "wk-999999"} },
-			func(r step.Reply) { status = r.Status })
+		w.nodes[0].ask(func(req uint64) eventloop.Event { return eventloop.QueryRequest{Req: req, ID: "wk-999999"} },
+			func(r eventloop.Reply) { status = r.Status })
 		w.Run(3 * time.Second)
 		return status
 	}
@@ -332,13 +332,13 @@
 	u.submit()
 	w.Run(8 * time.Second)
 	told := ""
-	w.nodes[0].ask(func(req uint64) step.Event { return step.CancelIn{Req: req, ID: u.job.ID} },
-		func(r step.Reply) {
+	w.nodes[0].ask(func(req uint64) eventloop.Event { return eventloop.CancelRequest{Req: req, ID: u.job.ID} },
+		func(r eventloop.Reply) {
 			if r.Status != 200 {
 				t.Fatalf("cancel: %d", r.Status)
 			}
-			w.nodes[1].ask(func(req uint64) step.Event { return step.PollIn{Req: req, ID: u.job.ID} },
-				func(r step.Reply) {
+			w.nodes[1].ask(func(req uint64) eventloop.Event { return eventloop.QueryRequest{Req: req, ID: u.job.ID} },
+				func(r eventloop.Reply) {
 					if a, ok := r.Body.(wire.JobAnswer); ok {
 						told = a.State
 					}
@@ -378,8 +378,8 @@
 	kept := 0
 	for range 3 { // the first time the worker is sent back to its owner
 		report.Sequence++
-		w.nodes[other].ask(func(req uint64) step.Event { return step.ReportIn{Req: req, Report: report} },
-			func(r step.Reply) {
+		w.nodes[other].ask(func(req uint64) eventloop.Event { return eventloop.HeartbeatRequest{Req: req, Heartbeat: report} },
+			func(r eventloop.Reply) {
 				a, ok := r.Body.(wire.HeartbeatAnswer)
 				if !ok || r.Status != 200 {
 					return
@@ -409,7 +409,7 @@
 		w.Run(14 * time.Second)
 		w.Outage(70*time.Second, w.nodes[victim].name)
 		w.Run(20 * time.Second)
-		if w.nodes[victim].core.Holds() > 0 {
+		if w.nodes[victim].core.MachineCount() > 0 {
 			t.Errorf("%s holds machines 20 s after the state service refused it", w.nodes[victim].name)
 		}
 		w.Run(160 * time.Second)
@@ -434,17 +434,17 @@
 	w.Run(14 * time.Second)
 	var holder *simNode
 	for _, n := range w.nodes {
-		if n.core.Holds() > 0 {
+		if n.core.MachineCount() > 0 {
 			holder = n
 		}
 	}
-	if holder == nil || holder.core.Holds() != w.held() {
+	if holder == nil || holder.core.MachineCount() != w.held() {
 		t.Fatal("the machines are not in one place")
 	}
 	w.Outage(70*time.Second, holder.name)
 	w.Run(18 * time.Second)
-	if holder.core.Holds() > 0 || w.held() == 0 {
-		t.Errorf("18 s after the refusal %s holds %d machines, all together %d", holder.name, holder.core.Holds(), w.held())
+	if holder.core.MachineCount() > 0 || w.held() == 0 {
+		t.Errorf("18 s after the refusal %s holds %d machines, all together %d", holder.name, holder.core.MachineCount(), w.held())
 	}
 }
 
@@ -526,9 +526,9 @@
 			if left := w.Unfinished(); len(left) > 0 {
 				t.Errorf("not over: %v", left)
 			}
-			homes := w.nodes[0].core.Homes()
+			homes := w.nodes[0].core.Partitions()
 			for _, team := range w.cfg.Teams {
-				count := cluster.CountHomes(homes, team.Name)
+				count := cluster.CountPartitions(homes, team.Name)
 				least, most := len(homes), 0
 				for _, n := range w.nodes {
 					least, most = min(least, count[n.name]), max(most, count[n.name])
--- a/internal/upgrade/plan.go
+++ b/internal/upgrade/plan.go
@@ -5,7 +5,7 @@
 	"slices"
 	"strings"
 
-	"fawncove/internal/core/gate"
+	"fawncove/internal/core/feature"
 )
 
 // Steps lists the controllers in the order in which they should be replaced:
@@ -70,12 +70,12 @@
 }
 
 // CannotFollow lists the controllers that cannot follow a level, with why.
-func (p *Picture) CannotFollow(l gate.Level) []string {
+func (p *Picture) CannotFollow(l feature.Level) []string {
 	var out []string
 	for _, c := range p.Controllers {
-		m := gate.Member{Name: c.Name, Heard: true, Process: max(c.Holder, c.Process), Holder: c.Holder,
-			Told: gate.Told{Process: c.Process, Version: c.Version, Levels: gate.Range{Oldest: gate.Level(c.Oldest), Newest: gate.Level(c.Newest)}}}
-		if why := m.Lacks(l); why != "" {
+		m := feature.Member{Name: c.Name, Reachable: true, Process: max(c.Holder, c.Process), LeaseIncarnation: c.Holder,
+			Announced: feature.Announcement{Incarnation: c.Process, Version: c.Version, Levels: feature.Range{Oldest: feature.Level(c.Oldest), Newest: feature.Level(c.Newest)}}}
+		if why := m.MissingFor(l); why != "" {
 			out = append(out, c.Name+" "+why)
 		}
 	}
@@ -83,10 +83,10 @@
 }
 
 // Newest is the newest level that any controller knows of.
-func (p *Picture) Newest() gate.Level {
+func (p *Picture) Newest() feature.Level {
 	l := p.Level
 	for _, c := range p.Controllers {
-		l = max(l, gate.Level(c.Newest))
+		l = max(l, feature.Level(c.Newest))
 	}
 	return l
 }
--- a/internal/upgrade/upgrade.go
+++ b/internal/upgrade/upgrade.go
@@ -15,7 +15,7 @@
 
 	"fawncove/internal/config"
 	"fawncove/internal/core/controller"
-	"fawncove/internal/core/gate"
+	"fawncove/internal/core/feature"
 	"fawncove/internal/core/leasevalue"
 	"fawncove/internal/wire"
 )
@@ -50,17 +50,17 @@
 
 // Picture is a rollout at a moment.
 type Picture struct {
-	Level       gate.Level   `json:"level"`
-	Confirmed   gate.Level   `json:"confirmed"`
-	Generation  uint64       `json:"generation"`
-	Form        int          `json:"form"` // of the lease value
-	Term        uint64       `json:"term"`
-	Beat        uint64       `json:"beat"`
-	Controllers []Controller `json:"controllers"`
-	Asked       gate.Level   `json:"asked"` // by the operator; 0: none
-	Hold        bool         `json:"hold"`
-	Waits       []string     `json:"waits"` // the leader's words
-	Left        int          `json:"left"`
+	Level       feature.Level `json:"level"`
+	Confirmed   feature.Level `json:"confirmed"`
+	Generation  uint64        `json:"generation"`
+	Form        int           `json:"form"` // of the lease value
+	Term        uint64        `json:"term"`
+	Beat        uint64        `json:"beat"`
+	Controllers []Controller  `json:"controllers"`
+	Asked       feature.Level `json:"asked"` // by the operator; 0: none
+	Hold        bool          `json:"hold"`
+	Waits       []string      `json:"waits"` // the leader's words
+	Left        int           `json:"left"`
 
 	word uint64 // version of the operator's word
 }
@@ -81,7 +81,7 @@
 	if err != nil {
 		return nil, err
 	}
-	p := &Picture{Level: gate.Level(rec.Level), Confirmed: gate.Level(rec.Confirmed), Generation: rec.Generation,
+	p := &Picture{Level: feature.Level(rec.Level), Confirmed: feature.Level(rec.Confirmed), Generation: rec.Generation,
 		Form: max(1, rec.Form), Term: rec.Term, Beat: rec.Sequence}
 	told, err := p.readTold(ctx, store)
 	if err != nil {
@@ -118,7 +118,7 @@
 
 // readLease reads the lease value with its pages.
 func readLease(ctx context.Context, store Store) (wire.LeaseRecord, error) {
-	var book leasevalue.Book
+	var book leasevalue.PageTable
 	for try := 0; ; try++ {
 		status, pair, err := store.Get(ctx, leasevalue.Key)
 		switch {
@@ -128,7 +128,7 @@
 			return wire.LeaseRecord{}, away(status, err)
 		}
 		rec, err := book.Read(pair.Value)
-		if !errors.Is(err, leasevalue.ErrMissing) || try == 3 {
+		if !errors.Is(err, leasevalue.ErrPageMissing) || try == 3 {
 			return rec, err
 		}
 		err = each(ctx, store, leasevalue.PagePrefix, func(p wire.Pair) error {
@@ -145,19 +145,19 @@
 func (p *Picture) readTold(ctx context.Context, store Store) (map[string]wire.ControllerRecord, error) {
 	told := map[string]wire.ControllerRecord{}
 	return told, each(ctx, store, controller.LevelPrefix, func(pair wire.Pair) error {
-		if pair.Key == controller.WordKey {
+		if pair.Key == controller.OperatorRequestKey {
 			var w wire.OperatorRequest
 			if err := open(pair, &w, func() int { return w.Form }); err != nil {
 				return err
 			}
-			p.Asked, p.Hold, p.word = gate.Level(w.TargetLevel), w.HoldLevel, pair.Version
+			p.Asked, p.Hold, p.word = feature.Level(w.TargetLevel), w.HoldLevel, pair.Version
 			return nil
 		}
 		var r wire.ControllerRecord
 		if err := open(pair, &r, func() int { return r.Form }); err != nil {
 			return err
 		}
-		told[pair.Key[min(len(pair.Key), len(controller.NodePrefix)):]] = r
+		told[pair.Key[min(len(pair.Key), len(controller.ControllerPrefix)):]] = r
 		return nil
 	})
 }
@@ -201,10 +201,10 @@
 }
 
 // Ask gives the operator's word, in place of the one that the picture shows.
-func (p *Picture) Ask(ctx context.Context, store Store, word gate.Word, at time.Time) error {
-	rec := wire.OperatorRequest{Form: wire.ControllerForm, TargetLevel: uint32(word.Level), HoldLevel: word.Hold, UpdatedAtMs: at.UnixMilli()}
-	status, _, err := store.Txn(ctx, wire.Txn{If: []wire.Condition{{Key: controller.WordKey, Version: p.word}},
-		Then: []wire.Op{{Put: controller.WordKey, Value: rec}}}, false)
+func (p *Picture) Ask(ctx context.Context, store Store, word feature.OperatorRequest, at time.Time) error {
+	rec := wire.OperatorRequest{Form: wire.ControllerForm, TargetLevel: uint32(word.TargetLevel), HoldLevel: word.Hold, UpdatedAtMs: at.UnixMilli()}
+	status, _, err := store.Txn(ctx, wire.Txn{If: []wire.Condition{{Key: controller.OperatorRequestKey, Version: p.word}},
+		Then: []wire.Op{{Put: controller.OperatorRequestKey, Value: rec}}}, false)
 	switch status {
 	case 200:
 		return nil
--- a/internal/wire/state.go
+++ b/internal/wire/state.go
@@ -120,7 +120,7 @@
 	// to form 1, the only one of earlier versions.
 	Form   int               `msgpack:"-"`
 	Shares map[string]Shares `msgpack:"-"`
-	// Level and Confirmed are the levels of package gate, and Generation counts
+	// Level and Confirmed are the levels of package feature, and Generation counts
 	// how often the state has been built anew. Form 3 has them.
 	Level, Confirmed uint32 `msgpack:"-"`
 	Generation       uint64 `msgpack:"-"`
