--- a/internal/core/blocklease/blocklease.go
+++ b/internal/core/blocklease/blocklease.go
@@ -51,7 +51,7 @@
 // Incarnation tells this process from earlier ones of the same name.
 func (h *Holder) Incarnation() uint64 { return h.inc }
 
-// Outgrow makes the incarnation larger than another, which the lease value
+// RaiseIncarnation makes the incarnation larger than another, which the lease value
 // still names for an earlier process.
 func (h *Holder) RaiseIncarnation(other uint64) { h.inc = max(h.inc, other+1) }
 
@@ -61,7 +61,7 @@
 // Grant is the number under which the block is held; 0 when there is none.
 func (h *Holder) Grant() uint64 { return h.grant }
 
-// Until is the moment from which on nothing may be started any more.
+// Expires is the moment from which on nothing may be started any more.
 func (h *Holder) Expires() time.Time { return h.until }
 
 // MayStart tells whether tasks may be started now.
@@ -71,7 +71,7 @@
 // what the same holder has sent it before.
 func (h *Holder) Token(bump uint64) uint64 { return h.grant<<bits + bump }
 
-// Bump tells what a token of this grant was raised by; ok is false for one of
+// TokenIncrement tells what a token of this grant was raised by; ok is false for one of
 // another grant.
 func (h *Holder) TokenIncrement(token uint64) (bump uint64, ok bool) {
 	return token & (1<<bits - 1), h.grant != 0 && token>>bits == h.grant
@@ -86,24 +86,24 @@
 // NextRenewal is the number that the renewal sent next will have.
 func (h *Holder) NextRenewal() uint64 { return h.renewals + 1 }
 
-// Sent notes that a renewal goes out now, and returns its number.
+// RecordRenewal notes that a renewal goes out now, and returns its number.
 func (h *Holder) RecordRenewal(now time.Time) uint64 {
 	h.renewals++
 	h.sent[h.renewals] = now
 	return h.renewals
 }
 
-// Hurry asks for a renewal to go out soon: there is something that the leader
+// RequestRenewal asks for a renewal to go out soon: there is something that the leader
 // should hear.
 func (h *Holder) RequestRenewal() { h.hurry = true }
 
-// Hurried tells whether a renewal should go out soon.
+// RenewalUrgent tells whether a renewal should go out soon.
 func (h *Holder) RenewalUrgent() bool { return h.hurry }
 
-// Calm notes that one goes out now.
+// RenewalSent notes that one goes out now.
 func (h *Holder) RenewalSent() { h.hurry = false }
 
-// Granted takes the block as a lease value shows it, which must be one of this
+// Renewed takes the block as a lease value shows it, which must be one of this
 // incarnation. It tells whether the grant is another one than before.
 func (h *Holder) Renewed(b wire.Block) (changed bool) {
 	if changed = h.grant != b.Grant; changed {
@@ -126,7 +126,7 @@
 	return changed
 }
 
-// Lose forgets the block and every right and promise that came with it.
+// Release forgets the block and every right and promise that came with it.
 func (h *Holder) Release() {
 	h.grant, h.until = 0, time.Time{}
 	clear(h.sent)
@@ -134,23 +134,23 @@
 	h.yields = nil
 }
 
-// Promise notes that the renewal with this number promises to use no more of a
+// Reserve notes that the renewal with this number promises to use no more of a
 // team's share than ceiling, and keeps to it from now on.
 func (h *Holder) Reserve(renewal uint64, team string, ceiling wire.Share) {
 	h.promises.Reserve(renewal, team, ceiling)
 }
 
-// Ceiling is what of a team's share in the lease value may be used: all of it,
+// UsableShare is what of a team's share in the lease value may be used: all of it,
 // or less if less was promised.
 func (h *Holder) UsableShare(team string, s wire.Share) wire.Share { return h.promises.Usable(team, s) }
 
-// Yield notes that the renewal with this number offers to give up a home. From
+// OfferHandover notes that the renewal with this number offers to give up a home. From
 // now on nothing of it may be started.
 func (h *Holder) OfferHandover(renewal uint64, home string) {
 	h.yields = append(h.yields, yield{renewal, home})
 }
 
-// Yielded tells whether a home is on offer. It is until a value honours the
+// HandoverOffered tells whether a home is on offer. It is until a value honours the
 // renewal: that value says whether the home has moved.
 func (h *Holder) HandoverOffered(home string) bool {
 	return slices.ContainsFunc(h.yields, func(y yield) bool { return y.home == home })
--- a/internal/core/cluster/cluster.go
+++ b/internal/core/cluster/cluster.go
@@ -19,15 +19,15 @@
 )
 
 const (
-	// LinkDead is the silence after which a peer counts as out of reach.
+	// PeerTimeout is the silence after which a peer counts as out of reach.
 	PeerTimeout = 2500 * time.Millisecond
 	// WatchHold bounds how old a controller's knowledge of cancellations gets
 	// while the state service answers.
 	WatchHold = 2 * time.Second
-	// UseFresh is how long what a controller told of its use counts.
+	// UsageMaxAge is how long what a controller told of its use counts.
 	UsageMaxAge = 10 * time.Second
 
-	// NeverUp is after how many boot times a machine counts as one that never
+	// BootTimeoutFactor is after how many boot times a machine counts as one that never
 	// comes up. Waiting longer pays for machines that do nothing and that take up
 	// what the market has.
 	BootTimeoutFactor = 2.5
@@ -37,12 +37,12 @@
 	margin = 500 * time.Millisecond
 )
 
-// Stretch returns how long another machine's d may take on this one's clock.
+// RemoteDuration returns how long another machine's d may take on this one's clock.
 func RemoteDuration(d time.Duration) time.Duration {
 	return d + time.Duration(float64(d)*drift) + margin
 }
 
-// Shrink returns how much of d this machine may use for itself.
+// LocalDuration returns how much of d this machine may use for itself.
 func LocalDuration(d time.Duration) time.Duration {
 	return d - time.Duration(float64(d)*drift) - margin
 }
@@ -90,7 +90,7 @@
 	// operator has asked for.
 	Controllers     map[string]Stored[wire.ControllerRecord]
 	OperatorRequest Stored[wire.OperatorRequest]
-	// ValueBytes is the size of the lease value that this controller wrote
+	// LeaseValueBytes is the size of the lease value that this controller wrote
 	// last, without pages.
 	LeaseValueBytes int
 	owners          map[string]string // machine -> controller, by the lease value
@@ -121,24 +121,24 @@
 	StateLost, StateRestored bool
 	Revision                 uint64         // the highest that the state service has shown it
 	RecoveryView             *recovery.View // while it rebuilds
-	// NoReports says that none of its machines has reported to it of late, and
+	// NoHeartbeats says that none of its machines has reported to it of late, and
 	// Guests how many machines of this controller's block report there instead.
 	NoHeartbeats   bool
 	ForeignWorkers int
-	// FollowsRaised says that it goes on with machines whose token was raised
+	// AcceptsRaisedTokens says that it goes on with machines whose token was raised
 	// elsewhere.
 	AcceptsRaisedTokens bool
-	// Slots is the most room that machines of its block have, and FollowsMoves says
+	// FreeSlots is the most room that machines of its block have, and FollowsMoves says
 	// that it knows that jobs move.
 	FreeSlots       []FreeSlot
 	AcceptsJobMoves bool
-	// Asked is its newest ask, and Clear the moment up to which it has told of no
+	// FreshnessRequest is its newest ask, and Clear the moment up to which it has told of no
 	// cancellation that is not known here, see package controller's clear.go.
 	FreshnessRequest        uint64
 	CancellationsKnownUntil time.Time
 }
 
-// Slot is the room on one machine, the most of its type, zone and kind.
+// FreeSlot is the room on one machine, the most of its type, zone and kind.
 type FreeSlot struct {
 	MachineType, Zone string
 	Spot              bool
@@ -146,14 +146,14 @@
 	Free              sched.Resources
 }
 
-// Room is what is free on a controller's machines at a moment, in processors.
+// Capacity is what is free on a controller's machines at a moment, in processors.
 type Capacity struct {
 	Free   float64
 	Size   float64            // of all its machines
 	Images map[string]float64 // free on machines that have an image
 }
 
-// Take counts a job that was filed there against the room, until the
+// Reserve counts a job that was filed there against the room, until the
 // controller tells its new figures.
 func (r *Capacity) Reserve(j *wire.Job) {
 	cpus := float64(j.Tasks) * j.CPUs
@@ -163,7 +163,7 @@
 	}
 }
 
-// Worth rates the room for an urgent job: the part of it that could start at
+// RateFor rates the room for an urgent job: the part of it that could start at
 // once, and more so where its image is.
 func (r *Capacity) RateFor(j *wire.Job) float64 {
 	cpus := max(1e-6, float64(j.Tasks)*j.CPUs)
@@ -181,7 +181,7 @@
 	return v
 }
 
-// Tell notes what a controller's tasks use and want.
+// UpdateTeamUse notes what a controller's tasks use and want.
 func (p *Peer) UpdateTeamUse(uses []*peerpb.TeamUse) {
 	for _, u := range uses {
 		if p.TeamUse == nil {
@@ -191,7 +191,7 @@
 	}
 }
 
-// TellSlots notes the room on a controller's machines.
+// UpdateFreeSlots notes the room on a controller's machines.
 func (p *Peer) UpdateFreeSlots(slots []*peerpb.FreeSlot) {
 	p.FreeSlots = p.FreeSlots[:0]
 	for _, s := range slots {
@@ -205,7 +205,7 @@
 	return feature.State{Level: feature.Level(v.Lease.Level), Confirmed: feature.Level(v.Lease.Confirmed)}
 }
 
-// Open tells whether a gate is open here.
+// FeatureOpen tells whether a gate is open here.
 func (v *View) FeatureOpen(g feature.Gate) bool { return v.Levels().Open(g) }
 
 // Unwrap takes a stored value out of its envelope. A version from before levels
@@ -236,13 +236,13 @@
 	return out
 }
 
-// LinkUp tells whether another controller has been heard a moment ago.
+// IsReachable tells whether another controller has been heard a moment ago.
 func (v *View) IsReachable(name string, now time.Time) bool {
 	p := v.Peers[name]
 	return p != nil && !p.LastFrame.IsZero() && now.Sub(p.LastFrame) < PeerTimeout
 }
 
-// AreaOf is the zone of a controller; "" of one that is not known.
+// ZoneOf is the zone of a controller; "" of one that is not known.
 func (v *View) ZoneOf(node string) string {
 	if node == v.Self {
 		return v.Settings.Area
@@ -253,10 +253,10 @@
 	return ""
 }
 
-// OwnerOf names the controller that holds a machine, or "".
+// HolderOf names the controller that holds a machine, or "".
 func (v *View) HolderOf(machine string) string { return v.owners[machine] }
 
-// Leased tells how many machines are in blocks.
+// LeasedMachines tells how many machines are in blocks.
 func (v *View) LeasedMachines() int { return len(v.owners) }
 
 // TeamOf returns the settings of a team.
@@ -280,7 +280,7 @@
 	return sched.Limit{CPUs: t.CPUs, GPUs: t.GPUs}
 }
 
-// SizeOf is the room on a machine of a type.
+// MachineSize is the room on a machine of a type.
 func MachineSize(t wire.MachineType) sched.Resources {
 	return sched.Resources{CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB}
 }
@@ -290,7 +290,7 @@
 	return t.CPUs <= 0 && t.CPUsMax <= 0 && t.GPUs <= 0 && t.GPUsMax <= 0
 }
 
-// Parts lists the parts of a team's jobs by name.
+// Shards lists the parts of a team's jobs by name.
 func Shards(homes map[string]string, team string) []string {
 	var out []string
 	for home := range homes {
@@ -302,7 +302,7 @@
 	return out
 }
 
-// Homes lists the homes of a team's jobs: its parts by name, then the team
+// Partitions lists the homes of a team's jobs: its parts by name, then the team
 // itself, which is for all jobs that were filed under no part.
 func Partitions(homes map[string]string, team string) []string {
 	out := Shards(homes, team)
@@ -312,7 +312,7 @@
 	return out
 }
 
-// CountHomes tells how many homes of a team each controller has.
+// CountPartitions tells how many homes of a team each controller has.
 func CountPartitions(homes map[string]string, team string) map[string]int {
 	count := map[string]int{}
 	for home, node := range homes {
@@ -327,7 +327,7 @@
 // effects: the same events always have the same outcome.
 func SortedKeys[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
 
-// Take makes a newer lease value the current one. Blocks that did not change
+// ApplyLease makes a newer lease value the current one. Blocks that did not change
 // cost a comparison only: the value is written often and is long.
 func (v *View) ApplyLease(rec wire.LeaseRecord, version uint64) {
 	before, after := v.Lease.Blocks, rec.Blocks
@@ -358,7 +358,7 @@
 	}
 }
 
-// Needs collects what every controller that is home to jobs of the team needs,
+// QuotaNeeds collects what every controller that is home to jobs of the team needs,
 // processors and cards; own is what this one's tasks use and want. Those not
 // heard of lately keep what they have.
 func (v *View) QuotaNeeds(homes map[string]string, shares wire.Shares, team string, own map[string]*peerpb.TeamUse, now time.Time) (cpus, cards map[string]quota.Need) {
--- a/internal/core/controller/answers_test.go
+++ b/internal/core/controller/answers_test.go
@@ -13,24 +13,24 @@
 func TestUnknownTypesRefuseNothing(t *testing.T) {
 	c, now := newCore(t, []config.Team{{Name: "free"}}, wire.LeaseRecord{Term: 3, Leader: "n1", Partitions: map[string]string{"free": "n1"}})
 	clear(c.view.MachineTypes)
-	status, retry := 0, 0
+	code, retry := eventloop.NoReply, 0
 	var handle func(ev eventloop.Event)
 	handle = func(ev eventloop.Event) {
 		for _, e := range c.Step(now, ev) {
 			switch e := e.(type) {
 			case eventloop.Reply:
-				status, retry = e.Status, e.RetryAfter
+				code, retry = e.Code, e.RetryAfter
 			case eventloop.StateTxn:
 				if len(e.Txn.Then) > 0 {
 					t.Error("the job is stored")
 				}
-				handle(eventloop.Completion{ID: e.ID, FromStateService: true, Status: 200})
+				handle(eventloop.Completion{ID: e.ID, FromStateService: true, Outcome: eventloop.Succeeded})
 			}
 		}
 	}
 	handle(eventloop.SubmitRequest{Req: 1, Job: wire.Job{ID: "wk-000001", Team: "free", Shape: wire.Array, Priority: "standard", Tasks: 1, CPUs: 1}})
-	if status != 503 || retry == 0 {
-		t.Errorf("answered %d, to come back after %d s", status, retry)
+	if code != eventloop.ReplyUnavailable || retry == 0 {
+		t.Errorf("answered %s, to come back after %d s", code, retry)
 	}
 }
 
@@ -60,13 +60,13 @@
 				watch = e.ID
 			case eventloop.StateTxn:
 				if e.Txn.Then[0].Put == jobPrefix+id {
-					handle(eventloop.Completion{ID: e.ID, FromStateService: true, Status: 409, Txn: wire.TxnAnswer{Failed: []string{jobPrefix + id}, Revision: 8}})
+					handle(eventloop.Completion{ID: e.ID, FromStateService: true, Outcome: eventloop.Conflict, Txn: wire.TxnAnswer{Failed: []string{jobPrefix + id}, Revision: 8}})
 				}
 			case eventloop.StateGet:
 				if e.Key == jobPrefix+id {
 					read = e.ID
 				} else if e.Key == endPrefix+id {
-					handle(eventloop.Completion{ID: e.ID, FromStateService: true, Status: 404})
+					handle(eventloop.Completion{ID: e.ID, FromStateService: true, Outcome: eventloop.NotFound})
 				}
 			}
 		}
@@ -77,11 +77,11 @@
 	if watch == 0 || read == 0 {
 		t.Fatalf("no watch is open, or no record read: %d, %d", watch, read)
 	}
-	handle(eventloop.Completion{ID: watch, FromStateService: true, Status: 200, Changes: wire.Changes{Revision: 9,
+	handle(eventloop.Completion{ID: watch, FromStateService: true, Outcome: eventloop.Succeeded, Changes: wire.Changes{Revision: 9,
 		Log: []wire.Change{{Delete: jobPrefix + id, Version: 9}, {Put: endPrefix + id, Value: raw(wire.EndRecord{State: wire.Cancelled, Tasks: 2}), Version: 9}}}})
-	handle(eventloop.Completion{ID: read, FromStateService: true, Status: 200, Pair: wire.Pair{Key: jobPrefix + id, Value: raw(wire.JobRecord{Job: job}), Version: 8}})
-	if a, _ := reply.Body.(wire.JobAnswer); reply.Status != 200 || a.State != wire.Cancelled {
-		t.Errorf("answered %d %+v after its end was known", reply.Status, reply.Body)
+	handle(eventloop.Completion{ID: read, FromStateService: true, Outcome: eventloop.Succeeded, Pair: wire.Pair{Key: jobPrefix + id, Value: raw(wire.JobRecord{Job: job}), Version: 8}})
+	if a, _ := reply.Body.(wire.JobAnswer); reply.Code != eventloop.ReplyOK || a.State != wire.Cancelled {
+		t.Errorf("answered %s %+v after its end was known", reply.Code, reply.Body)
 	}
 	if c.own.Job(id) != nil {
 		t.Error("the job is back after its end")
@@ -115,7 +115,7 @@
 				if e.Key == jobPrefix+id {
 					read = e.ID
 				} else if e.Key == endPrefix+id {
-					handle(eventloop.Completion{ID: e.ID, FromStateService: true, Status: 404, Page: wire.Page{Revision: 8}})
+					handle(eventloop.Completion{ID: e.ID, FromStateService: true, Outcome: eventloop.NotFound, Page: wire.Page{Revision: 8}})
 				}
 			}
 		}
@@ -125,9 +125,9 @@
 	if watch == 0 || read == 0 {
 		t.Fatalf("no watch is open, or no record read: %d, %d", watch, read)
 	}
-	handle(eventloop.Completion{ID: watch, FromStateService: true, Status: 200, Changes: wire.Changes{Revision: 9,
+	handle(eventloop.Completion{ID: watch, FromStateService: true, Outcome: eventloop.Succeeded, Changes: wire.Changes{Revision: 9,
 		Log: []wire.Change{{Put: jobPrefix + id, Value: record, Version: 9}}}})
-	handle(eventloop.Completion{ID: read, FromStateService: true, Status: 404, Page: wire.Page{Revision: 8}})
+	handle(eventloop.Completion{ID: read, FromStateService: true, Outcome: eventloop.NotFound, Page: wire.Page{Revision: 8}})
 	if c.recovery != nil {
 		t.Error("takes the state for one that has lost data")
 	}
--- a/internal/core/controller/bench_test.go
+++ b/internal/core/controller/bench_test.go
@@ -93,7 +93,7 @@
 	c.lead.RunAutoscaler()
 	for _, e := range c.loop.Effects() {
 		if e, ok := e.(eventloop.CloudList); ok && !listed {
-			listed = c.loop.Complete(eventloop.Completion{ID: e.ID, Status: 200, Machines: list})
+			listed = c.loop.Complete(eventloop.Completion{ID: e.ID, Outcome: eventloop.Succeeded, Machines: list})
 		}
 	}
 	if !listed {
--- a/internal/core/controller/controller.go
+++ b/internal/core/controller/controller.go
@@ -126,7 +126,7 @@
 	case eventloop.PeerFrame:
 		c.onPeer(e.Frame)
 	case eventloop.Completion:
-		if e.FromStateService && (e.Status == 200 || e.Status == 404 || e.Status == 409) {
+		if e.FromStateService && (e.Outcome == eventloop.Succeeded || e.Outcome == eventloop.NotFound || e.Outcome == eventloop.Conflict) {
 			if !c.reachable() && !c.stateOK.IsZero() {
 				c.wokeAt = now // what it has missed meanwhile may be a loss
 			}
@@ -172,14 +172,14 @@
 // LeaseForm is the form of the lease value as this controller last read it.
 func (c *Core) LeaseForm() int { return c.view.Lease.Form }
 
-// Parted tells how many teams' limits are held in shares.
+// ShardedTeams tells how many teams' limits are held in shares.
 func (c *Core) ShardedTeams() int { return len(c.view.Lease.Shares) }
 
-// Homes names the controller of every home, as the lease value last read does.
+// Partitions names the controller of every home, as the lease value last read does.
 // The map is not to be changed.
 func (c *Core) Partitions() map[string]string { return c.view.Lease.Partitions }
 
-// Holds tells how many machines are in this controller's block.
+// MachineCount tells how many machines are in this controller's block.
 func (c *Core) MachineCount() int { return c.own.MachineCount() }
 
 // tick does what time alone brings about.
@@ -230,7 +230,7 @@
 	c.typesBusy, c.typesAt = true, c.loop.Now
 	c.loop.Emit(eventloop.CloudTypes{ID: c.loop.Call(func(d eventloop.Completion) {
 		c.typesBusy = false
-		if d.Status != 200 {
+		if d.Outcome != eventloop.Succeeded {
 			return
 		}
 		for _, t := range d.Types.Types {
--- a/internal/core/controller/controller_test.go
+++ b/internal/core/controller/controller_test.go
@@ -158,42 +158,42 @@
 	}
 	for name, c := range map[string]struct {
 		ev   eventloop.Event
-		want int
+		want eventloop.ReplyCode
 	}{
-		"malformed":             {eventloop.SubmitRequest{Req: 1, Job: wire.Job{ID: fits.ID}, Err: io.ErrUnexpectedEOF}, 400},
-		"unknown team":          {with(func(j *wire.Job) { j.Team = "nobody" }), 422},
-		"fits no machine":       {with(func(j *wire.Job) { j.CPUs = 5 }), 422},
-		"wrong zone":            {with(func(j *wire.Job) { j.Zone = "z" }), 422},
-		"service over a limit":  {with(func(j *wire.Job) { j.Team, j.Shape = "red", wire.Daemon }), 422},
-		"poll for nobody's job": {eventloop.QueryRequest{Req: 1, ID: fits.ID}, 404},
+		"malformed":             {eventloop.SubmitRequest{Req: 1, Job: wire.Job{ID: fits.ID}, Err: io.ErrUnexpectedEOF}, eventloop.ReplyInvalid},
+		"unknown team":          {with(func(j *wire.Job) { j.Team = "nobody" }), eventloop.ReplyUnprocessable},
+		"fits no machine":       {with(func(j *wire.Job) { j.CPUs = 5 }), eventloop.ReplyUnprocessable},
+		"wrong zone":            {with(func(j *wire.Job) { j.Zone = "z" }), eventloop.ReplyUnprocessable},
+		"service over a limit":  {with(func(j *wire.Job) { j.Team, j.Shape = "red", wire.Daemon }), eventloop.ReplyUnprocessable},
+		"poll for nobody's job": {eventloop.QueryRequest{Req: 1, ID: fits.ID}, eventloop.ReplyNotFound},
 	} {
-		for what, want := range map[string]int{"says so": c.want, "does not answer": 503, "says so to one that just woke": 503} {
-			status := 200
+		for what, want := range map[string]eventloop.ReplyCode{"says so": c.want, "does not answer": eventloop.ReplyUnavailable, "says so to one that just woke": eventloop.ReplyUnavailable} {
+			outcome := eventloop.Succeeded
 			if what == "does not answer" {
-				status = 0
+				outcome = eventloop.NoAnswer
 			}
 			core, now := newCore(t, teams, wire.LeaseRecord{Term: 3, Leader: "n1", Blocks: map[string]wire.Block{"n0": {Grant: 1 << 18, Incarnation: 7}}})
 			if what == "says so to one that just woke" {
 				core.wokeAt = now // the state may have lost the job meanwhile
 			}
-			got := 0
+			got := eventloop.NoReply
 			// Without an answer it is asked again until its user waits no longer.
-			for events, end := []eventloop.Event{c.ev}, now.Add(4*time.Second); got == 0 && now.Before(end); now = now.Add(150 * time.Millisecond) {
+			for events, end := []eventloop.Event{c.ev}, now.Add(4*time.Second); got == eventloop.NoReply && now.Before(end); now = now.Add(150 * time.Millisecond) {
 				for events = append(events, eventloop.Tick{}); len(events) > 0; events = events[1:] {
 					for _, e := range core.Step(now, events[0]) {
 						switch e := e.(type) {
 						case eventloop.StateTxn:
 							if len(e.Txn.Then) == 0 {
-								events = append(events, eventloop.Completion{ID: e.ID, FromStateService: true, Status: status})
+								events = append(events, eventloop.Completion{ID: e.ID, FromStateService: true, Outcome: outcome})
 							}
 						case eventloop.Reply:
-							got = e.Status
+							got = e.Code
 						}
 					}
 				}
 			}
 			if got != want {
-				t.Errorf("%s, the state service %s: answered %d, want %d", name, what, got, want)
+				t.Errorf("%s, the state service %s: answered %s, want %s", name, what, got, want)
 			}
 		}
 	}
--- a/internal/core/controller/jobs.go
+++ b/internal/core/controller/jobs.go
@@ -36,17 +36,17 @@
 		return
 	}
 	c.loading = true
-	c.readGeneration(func(status int) {
-		if (status != 200 && status != 404) || c.doubtful() {
-			c.loadFailed("generation", status)
+	c.readGeneration(func(outcome eventloop.Outcome) {
+		if (outcome != eventloop.Succeeded && outcome != eventloop.NotFound) || c.doubtful() {
+			c.loadFailed("generation", outcome)
 			return
 		}
 		c.loadPage(c.loop.Now, "", 0, map[string]bool{})
 	})
 }
 
-func (c *Core) loadFailed(what string, status int) {
-	c.log.Info("state service does not answer", "reading", what, "status", status)
+func (c *Core) loadFailed(what string, outcome eventloop.Outcome) {
+	c.log.Info("state service does not answer", "reading", what, "outcome", outcome)
 	c.loading = false
 	c.retryAt = c.loop.Now.Add(500 * time.Millisecond)
 }
@@ -55,8 +55,8 @@
 // was asked for: what has changed since may be on a page that was read before.
 func (c *Core) loadPage(asked time.Time, after string, rev uint64, seen map[string]bool) {
 	c.loop.Emit(eventloop.StateRange{Prefix: jobPrefix, After: after, ID: c.loop.Call(func(d eventloop.Completion) {
-		if d.Status != 200 {
-			c.loadFailed("jobs", d.Status)
+		if d.Outcome != eventloop.Succeeded {
+			c.loadFailed("jobs", d.Outcome)
 			return
 		}
 		// Changes made while the pages are read come again with the watch,
@@ -78,13 +78,13 @@
 				c.own.EndJob(j)
 			}
 		}
-		c.fetchLease(func(status int) {
-			if status != 200 && status != 404 {
-				c.loadFailed("leases", status)
+		c.fetchLease(func(outcome eventloop.Outcome) {
+			if outcome != eventloop.Succeeded && outcome != eventloop.NotFound {
+				c.loadFailed("leases", outcome)
 				return
 			}
 			if c.doubtful() {
-				c.loadFailed("generation", status)
+				c.loadFailed("generation", outcome)
 				return
 			}
 			c.loading, c.loaded, c.kept = false, true, recovery.KnownState{}
@@ -119,8 +119,8 @@
 	c.loop.Emit(eventloop.StateWatch{Prefix: root, After: c.rev, Hold: cluster.WatchHold, ID: c.loop.Call(func(d eventloop.Completion) {
 		c.watching = false
 		c.watchAt = sent.Add(pause)
-		switch d.Status {
-		case 200:
+		switch d.Outcome {
+		case eventloop.Succeeded:
 			for _, e := range d.Changes.Log {
 				if e.Put != "" {
 					c.applyPut(e.Put, e.Value, e.Version)
@@ -131,7 +131,7 @@
 			c.rev = max(c.rev, d.Changes.Revision)
 			c.own.ChangesKnown(c.rev, sent)
 			c.watch()
-		case 410:
+		case eventloop.Compacted:
 			c.log.Info("watch too old, reading again")
 			c.loaded = false
 			c.load()
@@ -238,20 +238,20 @@
 	}
 }
 
-// Key is where a job's record is stored.
+// JobKey is where a job's record is stored.
 func (c *Core) JobKey(id string) string { return jobPrefix + id }
 
-// Basis are the conditions under which the lease value is as this controller knows it,
+// LeaseUnchanged are the conditions under which the lease value is as this controller knows it,
 // of the generation that it knows.
 func (c *Core) LeaseUnchanged() []wire.Condition {
 	return []wire.Condition{{Key: leaseKey, Version: c.view.LeaseVersion}, {Key: genKey, Version: c.gen.Version}}
 }
 
-// Users tells how many submissions are being stored, and when one last found no
+// UserWrites tells how many submissions are being stored, and when one last found no
 // room in the write limit.
 func (c *Core) UserWrites() (pending int, short time.Time) { return c.userWrites, c.usersShort }
 
-// End decides a job's end by a compare on the version of its record, so
+// StoreEnd decides a job's end by a compare on the version of its record, so
 // that of a completion and a cancellation exactly one wins. then is told
 // whether the end is stored; tries bounds the repeats.
 func (c *Core) StoreEnd(j *owner.Job, state string, tries int, then func(stored bool)) {
@@ -270,11 +270,11 @@
 		j.EndInFlight = false
 		j.RetryEndAt = c.loop.Now.Add(300 * time.Millisecond)
 		switch {
-		case d.Status == 200:
+		case d.Outcome == eventloop.Succeeded:
 			c.own.Served.Ended(&j.Record.Job, state == wire.Cancelled, j.Started() || j.ReportedCounts != [2]int{})
 			c.applyEnd(id, rec, d.Txn.Revision)
 			then(true)
-		case d.Status == 0:
+		case d.Outcome == eventloop.NoAnswer:
 			// Perhaps done, and only the answer is lost: whoever waits is told what is
 			// there. What is not there yet may still come, and is asked for again.
 			job, begun := j.Record.Job, j.Started() || j.ReportedCounts != [2]int{}
@@ -284,7 +284,7 @@
 				}
 				then(c.HasEnded(id))
 			})
-		case d.Status == 409:
+		case d.Outcome == eventloop.Conflict:
 			c.refresh(id, func(ok bool) {
 				if j := c.own.Job(id); ok && j != nil && !j.Ended && tries > 0 {
 					c.StoreEnd(j, state, tries-1, then)
@@ -304,12 +304,12 @@
 		then = func(bool) {}
 	}
 	c.loop.Emit(eventloop.StateGet{Key: endPrefix + id, ID: c.loop.Call(func(d eventloop.Completion) {
-		switch d.Status {
-		case 200:
+		switch d.Outcome {
+		case eventloop.Succeeded:
 			c.applyPut(endPrefix+id, d.Pair.Value, d.Pair.Version)
 			then(true)
 			return
-		case 404:
+		case eventloop.NotFound:
 		default:
 			then(false)
 			return
@@ -318,11 +318,11 @@
 		// job end in between, the record is missing and nothing is concluded.
 		known := c.own.Job(id) != nil
 		c.loop.Emit(eventloop.StateGet{Key: jobPrefix + id, ID: c.loop.Call(func(d eventloop.Completion) {
-			switch d.Status {
-			case 200:
+			switch d.Outcome {
+			case eventloop.Succeeded:
 				c.applyPut(jobPrefix+id, d.Pair.Value, d.Pair.Version)
 				then(true)
-			case 404:
+			case eventloop.NotFound:
 				c.missing(id, known, then)
 			default:
 				then(false)
@@ -339,11 +339,11 @@
 		return
 	}
 	c.loop.Emit(eventloop.StateGet{Key: jobPrefix + id, ID: c.loop.Call(func(d eventloop.Completion) {
-		switch d.Status {
-		case 200:
+		switch d.Outcome {
+		case eventloop.Succeeded:
 			c.applyPut(jobPrefix+id, d.Pair.Value, d.Pair.Version)
 			then(true)
-		case 404: // over since
+		case eventloop.NotFound: // over since
 			c.refresh(id, then)
 		default:
 			then(false)
@@ -359,12 +359,12 @@
 	j := c.own.Job(id)
 	c.loop.Emit(eventloop.StateGet{Key: endPrefix + id, ID: c.loop.Call(func(d eventloop.Completion) {
 		switch {
-		case d.Status == 200:
+		case d.Outcome == eventloop.Succeeded:
 			c.applyPut(endPrefix+id, d.Pair.Value, d.Pair.Version)
-		case d.Status == 404 && known && j != nil && !j.Ended && !j.EndInFlight:
+		case d.Outcome == eventloop.NotFound && known && j != nil && !j.Ended && !j.EndInFlight:
 			c.lose("a job is gone from it: "+id, c.high, 0)
 		}
-		then(d.Status == 200)
+		then(d.Outcome == eventloop.Succeeded)
 	})})
 }
 
@@ -553,10 +553,10 @@
 // checked answers the questions of a check.
 func (c *Core) checked(batch []question, known map[string]bool, d *eventloop.Completion) {
 	failed := map[string]bool{}
-	if d.Status == 409 {
+	if d.Outcome == eventloop.Conflict {
 		if slices.Contains(d.Txn.Failed, genKey) {
-			d.Status = 503 // it says nothing that could be told
-			c.readGeneration(func(int) {})
+			d.Outcome = eventloop.Unavailable // it says nothing that could be told
+			c.readGeneration(func(eventloop.Outcome) {})
 		}
 		for _, key := range d.Txn.Failed {
 			if len(key) > len(jobPrefix) {
@@ -567,9 +567,9 @@
 	changed := map[string][]question{} // by job
 	for _, q := range batch {
 		switch {
-		case d.Status == 0:
+		case d.Outcome == eventloop.NoAnswer:
 			c.repeat(q)
-		case d.Status != 200 && d.Status != 409:
+		case d.Outcome != eventloop.Succeeded && d.Outcome != eventloop.Conflict:
 			q.then(nil, nil, false)
 		case failed[q.id]:
 			if changed[q.id] = append(changed[q.id], q); len(changed[q.id]) > 1 {
@@ -580,7 +580,7 @@
 					c.tell(q, ok, false)
 				}
 			})
-		case d.Status == 409:
+		case d.Outcome == eventloop.Conflict:
 			// Only what failed is sure to be listed; the rest is asked again.
 			c.repeat(q)
 		default:
@@ -615,7 +615,7 @@
 // that there is none, or to come back.
 func (c *Core) notFound(req uint64, none bool) {
 	if none && c.sure() {
-		c.loop.Reply(req, 404, wire.ErrorAnswer{Error: "no such job"})
+		c.loop.Reply(req, eventloop.ReplyNotFound, wire.ErrorAnswer{Error: "no such job"})
 	} else {
 		c.loop.Unavailable(req)
 	}
@@ -639,11 +639,11 @@
 	c.ask(e.ID, false, func(j *owner.Job, end *wire.EndRecord, ok bool) {
 		switch {
 		case end != nil:
-			c.loop.Reply(e.Req, 200, endAnswer(e.ID, *end))
+			c.loop.Reply(e.Req, eventloop.ReplyOK, endAnswer(e.ID, *end))
 		case j != nil:
 			c.StoreEnd(j, wire.Cancelled, 3, func(bool) {
 				if end, over := c.ended[e.ID]; over && c.recovery == nil {
-					c.loop.Reply(e.Req, 200, endAnswer(e.ID, end))
+					c.loop.Reply(e.Req, eventloop.ReplyOK, endAnswer(e.ID, end))
 				} else {
 					c.loop.Unavailable(e.Req)
 				}
@@ -655,12 +655,12 @@
 }
 
 // refusal tells why a job can never run, or that this cannot be said yet.
-func (c *Core) refusal(j *wire.Job) (status int, why string) {
+func (c *Core) refusal(j *wire.Job) (code eventloop.ReplyCode, why string) {
 	if len(c.view.MachineTypes) == 0 {
-		return 503, "machine types not known yet"
+		return eventloop.ReplyUnavailable, "machine types not known yet"
 	}
 	if _, known := c.view.TeamOf(j.Team); !known {
-		return 422, "unknown team"
+		return eventloop.ReplyUnprocessable, "unknown team"
 	}
 	team := c.view.LimitOf(j.Team)
 	need := sched.Resources{CPUs: j.CPUs, GPUs: j.GPUs, MemoryGB: j.MemoryGB}
@@ -672,16 +672,16 @@
 		}
 	}
 	if !fits {
-		return 422, "a task fits no allowed machine type"
+		return eventloop.ReplyUnprocessable, "a task fits no allowed machine type"
 	}
 	n := 1.0
 	if j.Shape != wire.Array {
 		n = float64(j.Tasks)
 	}
 	if !team.Allows(sched.Resources{}, sched.Resources{}.Add(need, n)) {
-		return 422, "more than the team's limit"
+		return eventloop.ReplyUnprocessable, "more than the team's limit"
 	}
-	return 0, ""
+	return eventloop.NoReply, ""
 }
 
 // known answers a question about a job that is there, or over. It returns
@@ -689,9 +689,9 @@
 func (c *Core) known(req uint64, id string, j *owner.Job, end *wire.EndRecord) bool {
 	switch {
 	case end != nil:
-		c.loop.Reply(req, 200, endAnswer(id, *end))
+		c.loop.Reply(req, eventloop.ReplyOK, endAnswer(id, *end))
 	case j != nil:
-		c.loop.Reply(req, 200, c.jobAnswer(j))
+		c.loop.Reply(req, eventloop.ReplyOK, c.jobAnswer(j))
 	default:
 		return false
 	}
@@ -700,7 +700,7 @@
 
 func (c *Core) onSubmit(e eventloop.SubmitRequest) {
 	if e.Job.ID == "" {
-		c.loop.Reply(e.Req, 400, wire.ErrorAnswer{Error: fmt.Sprint(e.Err)})
+		c.loop.Reply(e.Req, eventloop.ReplyInvalid, wire.ErrorAnswer{Error: fmt.Sprint(e.Err)})
 		return
 	}
 	if !c.serves() {
@@ -708,12 +708,12 @@
 		return
 	}
 	id := e.Job.ID
-	status, why := 400, fmt.Sprint(e.Err)
+	code, why := eventloop.ReplyInvalid, fmt.Sprint(e.Err)
 	if e.Err == nil {
-		status, why = c.refusal(&e.Job)
+		code, why = c.refusal(&e.Job)
 	}
-	if status != 0 || c.own.Job(id) != nil || c.HasEnded(id) {
-		c.refuse(e.Req, id, status, why)
+	if code != eventloop.NoReply || c.own.Job(id) != nil || c.HasEnded(id) {
+		c.refuse(e.Req, id, code, why)
 		return
 	}
 	if !c.reachable() {
@@ -729,16 +729,16 @@
 }
 
 // refuse answers a submission that is not to be stored. A known job is answered as it
-// stands, whatever the body says; the status, if it is one that ends the user's tries,
+// stands, whatever the body says; the code, if it is one that ends the user's tries,
 // is told only once it is sure that the job was never accepted.
-func (c *Core) refuse(req uint64, id string, status int, why string) {
+func (c *Core) refuse(req uint64, id string, code eventloop.ReplyCode, why string) {
 	c.ask(id, false, func(j *owner.Job, end *wire.EndRecord, ok bool) {
 		switch {
 		case c.known(req, id, j, end):
-		case !ok || !c.sure() || status == 503 || status == 0:
+		case !ok || !c.sure() || code == eventloop.ReplyUnavailable || code == eventloop.NoReply:
 			c.loop.Unavailable(req)
 		default:
-			c.loop.Reply(req, status, wire.ErrorAnswer{Error: why})
+			c.loop.Reply(req, code, wire.ErrorAnswer{Error: why})
 		}
 	})
 }
@@ -765,11 +765,11 @@
 		},
 		ID: c.loop.Call(func(d eventloop.Completion) {
 			c.userWrites--
-			if d.Status != 200 && d.Status != 409 && d.Status != 0 {
+			if d.Outcome != eventloop.Succeeded && d.Outcome != eventloop.Conflict && d.Outcome != eventloop.NoAnswer {
 				c.usersShort = c.loop.Now
 			}
-			switch d.Status {
-			case 200:
+			switch d.Outcome {
+			case eventloop.Succeeded:
 				c.own.Served.Accepted(&rec.Job)
 				c.applyJob(rec, owner.RecordInfo{Version: d.Txn.Revision, Form: form})
 				if c.recovery != nil {
@@ -777,10 +777,10 @@
 					return
 				}
 				c.log.Debug("accepted", "job", id, "class", rec.Class, "tasks", rec.Tasks, "image", rec.Image, "owner", rec.Owner)
-				c.loop.Reply(req, 201, wire.JobAnswer{ID: id, State: wire.Pending})
-			case 409, 0: // it is known already, or perhaps stored and only the answer lost
+				c.loop.Reply(req, eventloop.ReplyCreated, wire.JobAnswer{ID: id, State: wire.Pending})
+			case eventloop.Conflict, eventloop.NoAnswer: // it is known already, or perhaps stored and only the answer lost
 				c.reread(id, d.Txn.Failed, func(ok bool) {
-					if d.Status == 0 && (c.HasEnded(id) || (ok && c.own.Job(id) != nil)) {
+					if d.Outcome == eventloop.NoAnswer && (c.HasEnded(id) || (ok && c.own.Job(id) != nil)) {
 						c.own.Served.Accepted(&rec.Job)
 					}
 					if end, over := c.ended[id]; over {
@@ -789,12 +789,12 @@
 						c.loop.Unavailable(req)
 					}
 				})
-			case 400:
+			case eventloop.Rejected:
 				if wrapped { // perhaps only the envelope is too much
 					c.store(req, rec, false)
 					return
 				}
-				c.refuse(req, id, 400, "too large")
+				c.refuse(req, id, eventloop.ReplyInvalid, "too large")
 			default:
 				c.loop.Unavailable(req)
 			}
@@ -802,7 +802,7 @@
 	})
 }
 
-// Ready tells whether workers may be answered: jobs are known, and this
+// WorkersServed tells whether workers may be answered: jobs are known, and this
 // controller is not the only one refused by the state service; then others know
 // who owns the machines by now.
 //
@@ -812,7 +812,7 @@
 	return c.recovery != nil || c.serves() && (c.hold.Held() || !c.refusedAlone())
 }
 
-// Ended tells whether a job is known to be over.
+// HasEnded tells whether a job is known to be over.
 func (c *Core) HasEnded(id string) bool { _, ok := c.ended[id]; return ok }
 
 func (c *Core) homeOf(team string) string { return c.view.Lease.Partitions[team] }
--- a/internal/core/controller/lease.go
+++ b/internal/core/controller/lease.go
@@ -66,40 +66,40 @@
 func (c *Core) readLease() {
 	if c.unread != nil && !c.leaseReading && c.loop.Now.Sub(c.unreadSince) >= unreadFor {
 		c.unreadSince = c.loop.Now
-		c.fetchLease(func(int) {})
+		c.fetchLease(func(eventloop.Outcome) {})
 	}
 }
 
 // fetchLease reads the lease value and, if need be, its pages. Both may change
-// in between, so it tries a few times; then gets the status of what it read
-// last, or 0 when value and pages never matched.
-func (c *Core) fetchLease(then func(status int)) {
+// in between, so it tries a few times; then gets the outcome of what it read
+// last, or NoAnswer when value and pages never matched.
+func (c *Core) fetchLease(then func(outcome eventloop.Outcome)) {
 	c.leaseReading = true
-	done := func(status int) {
+	done := func(outcome eventloop.Outcome) {
 		c.leaseReading = false
-		then(status)
+		then(outcome)
 	}
 	var try func(left int)
 	var pages func(left int, after string)
 	try = func(left int) {
 		known := c.view.LeaseVersion
 		c.loop.Emit(eventloop.StateGet{Key: leaseKey, ID: c.loop.Call(func(d eventloop.Completion) {
-			if c.recovery == nil && d.Pair.Version < known && (d.Status == 200 || d.Status == 404) {
+			if c.recovery == nil && d.Pair.Version < known && (d.Outcome == eventloop.Succeeded || d.Outcome == eventloop.NotFound) {
 				// Its only writes make it newer. Where just the last revision is lost, the
 				// next one has the same number and shows nothing; no write of the value
 				// would ever find the version that it is based on.
 				c.lose("the lease value went back", known, d.Pair.Version)
-				done(0)
+				done(eventloop.NoAnswer)
 				return
 			}
-			if d.Status == 200 {
+			if d.Outcome == eventloop.Succeeded {
 				c.applyPut(leaseKey, d.Pair.Value, d.Pair.Version)
 			}
 			switch {
-			case d.Status != 200 || c.unread == nil:
-				done(d.Status)
+			case d.Outcome != eventloop.Succeeded || c.unread == nil:
+				done(d.Outcome)
 			case left == 0:
-				done(0)
+				done(eventloop.NoAnswer)
 			default:
 				pages(left-1, "")
 			}
@@ -107,8 +107,8 @@
 	}
 	pages = func(left int, after string) {
 		c.loop.Emit(eventloop.StateRange{Prefix: leasevalue.PagePrefix, After: after, ID: c.loop.Call(func(d eventloop.Completion) {
-			if d.Status != 200 {
-				done(d.Status)
+			if d.Outcome != eventloop.Succeeded {
+				done(d.Outcome)
 				return
 			}
 			for _, p := range d.Page.Pairs {
@@ -117,7 +117,7 @@
 			}
 			switch {
 			case c.unread == nil:
-				done(200)
+				done(eventloop.Succeeded)
 			case d.Page.More && len(d.Page.Pairs) > 0:
 				pages(left, after)
 			default:
@@ -280,7 +280,7 @@
 	c.renew()
 }
 
-// Left tells whether nothing is left to hand over by a process that leaves: the
+// HandedOver tells whether nothing is left to hand over by a process that leaves: the
 // lease value names it no longer. It is true of one that never read any.
 func (c *Core) HandedOver() bool {
 	_, held := c.view.Lease.Blocks[c.view.Self]
@@ -444,7 +444,7 @@
 		Txn: wire.Txn{If: append(c.LeaseUnchanged(), c.raiseConds(&rec)...), Then: ops},
 		ID: c.loop.Call(func(d eventloop.Completion) {
 			c.leaseBusy = false
-			if d.Status == 200 {
+			if d.Outcome == eventloop.Succeeded {
 				if draft != nil {
 					draft.Commit()
 				}
@@ -458,7 +458,7 @@
 			}
 			// Refused, or perhaps done: read before deciding anything.
 			c.leaseBusy = true
-			c.fetchLease(func(int) {
+			c.fetchLease(func(eventloop.Outcome) {
 				c.leaseBusy = false
 				if c.lead != nil {
 					c.lead.RequestPublish()
--- a/internal/core/controller/level.go
+++ b/internal/core/controller/level.go
@@ -44,7 +44,7 @@
 // serves tells whether users and workers can be served at all.
 func (c *Core) serves() bool { return c.loaded && c.refused == nil && c.recovery == nil }
 
-// Refused tells why this version cannot serve this cluster, or nil.
+// Incompatible tells why this version cannot serve this cluster, or nil.
 func (c *Core) Incompatible() error { return c.refused }
 
 // cannotRead is told of a lease value that cannot be read. One in a form or at a
@@ -136,7 +136,7 @@
 	c.level.reading = true
 	c.loop.Emit(eventloop.StateRange{Prefix: LevelPrefix, ID: c.loop.Call(func(d eventloop.Completion) {
 		c.level.reading = false
-		if d.Status != 200 {
+		if d.Outcome != eventloop.Succeeded {
 			c.level.next = c.loop.Now.Add(time.Second)
 			return
 		}
@@ -193,10 +193,10 @@
 		Txn: wire.Txn{If: []wire.Condition{{Key: key, Version: stored.Version}}, Then: []wire.Op{{Put: key, Value: rec}}},
 		ID: c.loop.Call(func(d eventloop.Completion) {
 			c.level.busy = false
-			switch d.Status {
-			case 200:
+			switch d.Outcome {
+			case eventloop.Succeeded:
 				c.view.Controllers[c.view.Self] = cluster.Stored[wire.ControllerRecord]{Value: rec, Version: d.Txn.Revision}
-			case 409:
+			case eventloop.Conflict:
 				c.level.read = false // something has changed unseen: read again
 			}
 		})})
--- a/internal/core/controller/level_test.go
+++ b/internal/core/controller/level_test.go
@@ -80,7 +80,7 @@
 		if env.Form != wire.EnvelopeForm || env.Generation != 3 {
 			t.Errorf("%+v", env)
 		}
-		out = txns(c.Step(now.Add(2*time.Second), eventloop.Completion{ID: out[0].ID, FromStateService: true, Status: 400}), jobPrefix+job.ID)
+		out = txns(c.Step(now.Add(2*time.Second), eventloop.Completion{ID: out[0].ID, FromStateService: true, Outcome: eventloop.Rejected}), jobPrefix+job.ID)
 		if len(out) != 1 {
 			t.Fatal("not tried without its envelope")
 		}
@@ -123,7 +123,7 @@
 			}
 		}
 		reply := c.Step(now.Add(31*time.Second), eventloop.QueryRequest{Req: 1, ID: "wk-000001"})
-		if r, ok := reply[0].(eventloop.Reply); v.refused && (!ok || r.Status != 503 || r.RetryAfter == 0) {
+		if r, ok := reply[0].(eventloop.Reply); v.refused && (!ok || r.Code != eventloop.ReplyUnavailable || r.RetryAfter == 0) {
 			t.Errorf("%s: a poll gets %+v", name, reply)
 		}
 	}
--- a/internal/core/controller/meeting_test.go
+++ b/internal/core/controller/meeting_test.go
@@ -40,7 +40,7 @@
 			case eventloop.StateGet:
 				events = append(events, k.get(e))
 			case eventloop.StateRange:
-				events = append(events, eventloop.Completion{ID: e.ID, FromStateService: true, Status: 200, Page: wire.Page{Revision: k.rev}})
+				events = append(events, eventloop.Completion{ID: e.ID, FromStateService: true, Outcome: eventloop.Succeeded, Page: wire.Page{Revision: k.rev}})
 			case eventloop.StateWatch:
 				k.watch = e.ID
 			}
@@ -51,25 +51,25 @@
 func (k *keeper) txn(e eventloop.StateTxn) eventloop.Completion {
 	for _, c := range e.Txn.If {
 		if c.Key == leaseKey && c.Version != k.rev {
-			return eventloop.Completion{ID: e.ID, FromStateService: true, Status: 409, Txn: wire.TxnAnswer{Failed: []string{leaseKey}, Revision: k.rev}}
+			return eventloop.Completion{ID: e.ID, FromStateService: true, Outcome: eventloop.Conflict, Txn: wire.TxnAnswer{Failed: []string{leaseKey}, Revision: k.rev}}
 		}
 	}
 	if rec, ok := e.Txn.Then[0].Value.(wire.LeaseRecord); ok {
 		k.rev++
 		k.lease = rec
 	}
-	return eventloop.Completion{ID: e.ID, FromStateService: true, Status: 200, Txn: wire.TxnAnswer{Revision: k.rev}}
+	return eventloop.Completion{ID: e.ID, FromStateService: true, Outcome: eventloop.Succeeded, Txn: wire.TxnAnswer{Revision: k.rev}}
 }
 
 func (k *keeper) get(e eventloop.StateGet) eventloop.Completion {
 	if e.Key != leaseKey {
-		return eventloop.Completion{ID: e.ID, FromStateService: true, Status: 404}
+		return eventloop.Completion{ID: e.ID, FromStateService: true, Outcome: eventloop.NotFound}
 	}
 	raw, err := wire.Encode(k.lease)
 	if err != nil {
 		panic(err)
 	}
-	return eventloop.Completion{ID: e.ID, FromStateService: true, Status: 200, Pair: wire.Pair{Key: leaseKey, Value: raw, Version: k.rev}}
+	return eventloop.Completion{ID: e.ID, FromStateService: true, Outcome: eventloop.Succeeded, Pair: wire.Pair{Key: leaseKey, Value: raw, Version: k.rev}}
 }
 
 // TestRenewalsOfALateWriteCount: a write of the lease value gets no answer and is
@@ -108,15 +108,15 @@
 		t.Fatal("does not lead")
 	}
 	// Carried out late, and shown by the watch.
-	if a := k.txn(k.held[0]); a.Status != 200 || k.lease.Blocks["n1"].Renewal != 3 {
-		t.Fatalf("late write: %d, renewal %d", a.Status, k.lease.Blocks["n1"].Renewal)
+	if a := k.txn(k.held[0]); a.Outcome != eventloop.Succeeded || k.lease.Blocks["n1"].Renewal != 3 {
+		t.Fatalf("late write: %s, renewal %d", a.Outcome, k.lease.Blocks["n1"].Renewal)
 	}
 	k.mute = false
 	raw, err := wire.Encode(k.lease)
 	if err != nil {
 		t.Fatal(err)
 	}
-	k.do(eventloop.Completion{ID: k.watch, FromStateService: true, Status: 200, Changes: wire.Changes{Revision: k.rev,
+	k.do(eventloop.Completion{ID: k.watch, FromStateService: true, Outcome: eventloop.Succeeded, Changes: wire.Changes{Revision: k.rev,
 		Log: []wire.Change{{Put: leaseKey, Value: raw, Version: k.rev}}}})
 	// Until then its holder may start tasks on its machine.
 	until := sent.Add(c.view.Params.LeaseDuration)
@@ -154,7 +154,7 @@
 	gets = func(effects []eventloop.Effect) []eventloop.Effect {
 		for _, e := range effects {
 			if g, ok := e.(eventloop.StateGet); ok {
-				return gets(c.Step(now, eventloop.Completion{ID: g.ID, FromStateService: true, Status: 404}))
+				return gets(c.Step(now, eventloop.Completion{ID: g.ID, FromStateService: true, Outcome: eventloop.NotFound}))
 			}
 		}
 		return effects
@@ -167,27 +167,27 @@
 	}
 	asked := now
 	at(9 * time.Second)
-	second := ranges(c.Step(now, eventloop.Completion{ID: first, FromStateService: true, Status: 200, Page: wire.Page{Revision: 1, More: true,
+	second := ranges(c.Step(now, eventloop.Completion{ID: first, FromStateService: true, Outcome: eventloop.Succeeded, Page: wire.Page{Revision: 1, More: true,
 		Pairs: []wire.Pair{{Key: jobPrefix + "wk-000001", Version: 1}}}}))
 	at(18 * time.Second)
-	gets(c.Step(now, eventloop.Completion{ID: second, FromStateService: true, Status: 200, Page: wire.Page{Revision: 2}}))
+	gets(c.Step(now, eventloop.Completion{ID: second, FromStateService: true, Outcome: eventloop.Succeeded, Page: wire.Page{Revision: 2}}))
 	if !c.loaded {
 		t.Fatal("not read")
 	}
 	w := c.view.Settings.Cluster.Workers
 	for _, x := range []struct {
-		after  time.Duration
-		status int
-	}{{0, 200}, {config.Seconds(w.CancelS - w.LeaseS), 503}} {
+		after time.Duration
+		code  eventloop.ReplyCode
+	}{{0, eventloop.ReplyOK}, {config.Seconds(w.CancelS - w.LeaseS), eventloop.ReplyUnavailable}} {
 		now = maxTime(now, asked.Add(x.after))
-		status := 0
+		code := eventloop.NoReply
 		for _, e := range c.Step(now, eventloop.HeartbeatRequest{Req: 1, Heartbeat: wire.Heartbeat{Machine: "host-000001", Type: "s4", AgentEpoch: 1, Sequence: 1 + uint64(x.after)}}) {
 			if r, ok := e.(eventloop.Reply); ok {
-				status = r.Status
+				code = r.Code
 			}
 		}
-		if (status == 503) != (x.status == 503) {
-			t.Errorf("a worker gets %d, %v after the first page was asked for", status, now.Sub(asked))
+		if (code == eventloop.ReplyUnavailable) != (x.code == eventloop.ReplyUnavailable) {
+			t.Errorf("a worker gets %s, %v after the first page was asked for", code, now.Sub(asked))
 		}
 	}
 }
@@ -212,33 +212,33 @@
 		return b
 	}
 	put := func(key string, value []byte) eventloop.Event {
-		return eventloop.Completion{FromStateService: true, Status: 200, Changes: wire.Changes{Revision: 9, Log: []wire.Change{{Put: key, Value: value, Version: 9}}}}
+		return eventloop.Completion{FromStateService: true, Outcome: eventloop.Succeeded, Changes: wire.Changes{Revision: 9, Log: []wire.Change{{Put: key, Value: value, Version: 9}}}}
 	}
 	for name, c := range map[string]struct {
 		ev         eventloop.Event
-		well, away int // the answer's status; 0: there is nothing to answer
+		well, away eventloop.ReplyCode // NoReply: there is nothing to answer
 	}{
-		"a submission without an id":       {eventloop.SubmitRequest{Req: 1, Err: io.ErrUnexpectedEOF}, 400, 400},
-		"a malformed submission":           {eventloop.SubmitRequest{Req: 1, Job: wire.Job{ID: "wk-000009"}, Err: io.ErrUnexpectedEOF}, 400, 503},
-		"a question for an impossible id":  {eventloop.QueryRequest{Req: 1, ID: "no/such id"}, 404, 404},
-		"a question for an unknown id":     {eventloop.QueryRequest{Req: 1, ID: "wk-000009"}, 404, 503},
-		"a cancellation of an unknown job": {eventloop.CancelRequest{Req: 1, ID: "wk-000009"}, 404, 503},
-		"a report without a machine":       {eventloop.HeartbeatRequest{Req: 1, Heartbeat: wire.Heartbeat{AgentEpoch: 1}}, 400, 400},
-		"a report without a session":       {eventloop.HeartbeatRequest{Req: 1, Heartbeat: wire.Heartbeat{Machine: "host-000001"}}, 400, 400},
+		"a submission without an id":       {eventloop.SubmitRequest{Req: 1, Err: io.ErrUnexpectedEOF}, eventloop.ReplyInvalid, eventloop.ReplyInvalid},
+		"a malformed submission":           {eventloop.SubmitRequest{Req: 1, Job: wire.Job{ID: "wk-000009"}, Err: io.ErrUnexpectedEOF}, eventloop.ReplyInvalid, eventloop.ReplyUnavailable},
+		"a question for an impossible id":  {eventloop.QueryRequest{Req: 1, ID: "no/such id"}, eventloop.ReplyNotFound, eventloop.ReplyNotFound},
+		"a question for an unknown id":     {eventloop.QueryRequest{Req: 1, ID: "wk-000009"}, eventloop.ReplyNotFound, eventloop.ReplyUnavailable},
+		"a cancellation of an unknown job": {eventloop.CancelRequest{Req: 1, ID: "wk-000009"}, eventloop.ReplyNotFound, eventloop.ReplyUnavailable},
+		"a report without a machine":       {eventloop.HeartbeatRequest{Req: 1, Heartbeat: wire.Heartbeat{AgentEpoch: 1}}, eventloop.ReplyInvalid, eventloop.ReplyInvalid},
+		"a report without a session":       {eventloop.HeartbeatRequest{Req: 1, Heartbeat: wire.Heartbeat{Machine: "host-000001"}}, eventloop.ReplyInvalid, eventloop.ReplyInvalid},
 		"a report of tasks with bad names": {eventloop.HeartbeatRequest{Req: 1, Heartbeat: wire.Heartbeat{Machine: "host-000001", AgentEpoch: 1, Sequence: 1, Token: 1 << 42,
-			Tasks: []wire.TaskStatus{{Task: "wk-000001"}, {Task: "wk-000001/-1"}, {Task: "/"}, {Task: "wk-000001/99999999999999999999"}}}}, 200, 200},
-		"a frame of nobody":                {eventloop.PeerFrame{Frame: &peerpb.Frame{From: "n9"}}, 0, 0},
-		"a frame with names that are none": {eventloop.PeerFrame{Frame: &peerpb.Frame{From: "n1", Renewal: &peerpb.Renewal{Node: "n1", Incarnation: 9, Number: 7, Released: "?", SilentMachines: "?", Reconciled: "?", UnknownEndpoints: "?"}}}, 0, 0},
-		"a frame with a view that is none": {eventloop.PeerFrame{Frame: &peerpb.Frame{From: "n1", RecoveryView: []byte{0xc1}}}, 0, 0},
-		"an echo that nobody asked for":    {eventloop.PeerFrame{Frame: &peerpb.Frame{From: "n1", CancelledRevision: 1, FreshnessRequest: 1 << 60, FreshnessReplies: []*peerpb.FreshnessReply{{To: "n0", Process: 7, Request: 1 << 60}}}}, 0, 0},
-		"an answer to no call":             {eventloop.Completion{ID: 1 << 40, Status: 200, Heartbeat: &wire.Heartbeat{}}, 0, 0},
-		"a stored job that cannot be read": {put(jobPrefix+"wk-000009", []byte{0xc1}), 0, 0},
-		"a stored job under another's key": {put(jobPrefix+"wk-000009", raw(wire.JobRecord{Job: wire.Job{ID: "wk-000008"}})), 0, 0},
-		"a stored end that cannot be read": {put(endPrefix+"wk-000009", []byte{0xc1}), 0, 0},
-		"a lease value that is none":       {put(leaseKey, []byte{0xc1}), 0, 0},
-		"a renewal that is none":           {put(renPrefix+"n1", raw(map[string]string{"pb": "?"})), 0, 0},
-		"a generation that is none":        {put(genKey, []byte{0xc1}), 0, 0},
-		"a level that is none":             {put(OperatorRequestKey, []byte{0xc1}), 0, 0},
+			Tasks: []wire.TaskStatus{{Task: "wk-000001"}, {Task: "wk-000001/-1"}, {Task: "/"}, {Task: "wk-000001/99999999999999999999"}}}}, eventloop.ReplyOK, eventloop.ReplyOK},
+		"a frame of nobody":                {eventloop.PeerFrame{Frame: &peerpb.Frame{From: "n9"}}, eventloop.NoReply, eventloop.NoReply},
+		"a frame with names that are none": {eventloop.PeerFrame{Frame: &peerpb.Frame{From: "n1", Renewal: &peerpb.Renewal{Node: "n1", Incarnation: 9, Number: 7, Released: "?", SilentMachines: "?", Reconciled: "?", UnknownEndpoints: "?"}}}, eventloop.NoReply, eventloop.NoReply},
+		"a frame with a view that is none": {eventloop.PeerFrame{Frame: &peerpb.Frame{From: "n1", RecoveryView: []byte{0xc1}}}, eventloop.NoReply, eventloop.NoReply},
+		"an echo that nobody asked for":    {eventloop.PeerFrame{Frame: &peerpb.Frame{From: "n1", CancelledRevision: 1, FreshnessRequest: 1 << 60, FreshnessReplies: []*peerpb.FreshnessReply{{To: "n0", Process: 7, Request: 1 << 60}}}}, eventloop.NoReply, eventloop.NoReply},
+		"an answer to no call":             {eventloop.Completion{ID: 1 << 40, Outcome: eventloop.Succeeded, Heartbeat: &wire.Heartbeat{}}, eventloop.NoReply, eventloop.NoReply},
+		"a stored job that cannot be read": {put(jobPrefix+"wk-000009", []byte{0xc1}), eventloop.NoReply, eventloop.NoReply},
+		"a stored job under another's key": {put(jobPrefix+"wk-000009", raw(wire.JobRecord{Job: wire.Job{ID: "wk-000008"}})), eventloop.NoReply, eventloop.NoReply},
+		"a stored end that cannot be read": {put(endPrefix+"wk-000009", []byte{0xc1}), eventloop.NoReply, eventloop.NoReply},
+		"a lease value that is none":       {put(leaseKey, []byte{0xc1}), eventloop.NoReply, eventloop.NoReply},
+		"a renewal that is none":           {put(renPrefix+"n1", raw(map[string]string{"pb": "?"})), eventloop.NoReply, eventloop.NoReply},
+		"a generation that is none":        {put(genKey, []byte{0xc1}), eventloop.NoReply, eventloop.NoReply},
+		"a level that is none":             {put(OperatorRequestKey, []byte{0xc1}), eventloop.NoReply, eventloop.NoReply},
 	} {
 		for _, away := range []bool{false, true} {
 			c0, start := newCore(t, []config.Team{{Name: "free"}}, wire.LeaseRecord{Term: 3, Leader: "n0", Incarnation: 7, Partitions: map[string]string{"free": "n0"},
@@ -248,23 +248,25 @@
 				want, now = c.away, start.Add(stateSilent)
 			}
 			// handle carries out an event, and answers what it asks of the state service.
-			var handle func(ev eventloop.Event) int
-			handle = func(ev eventloop.Event) (status int) {
+			var handle func(ev eventloop.Event) eventloop.ReplyCode
+			handle = func(ev eventloop.Event) (code eventloop.ReplyCode) {
 				for _, e := range c0.Step(now, ev) {
 					switch e := e.(type) {
 					case eventloop.Reply:
-						if status = e.Status; status == 503 && e.RetryAfter == 0 {
-							t.Errorf("%s, away: %v: 503 without when to come back", name, away)
+						if code = e.Code; code == eventloop.ReplyUnavailable && e.RetryAfter == 0 {
+							t.Errorf("%s, away: %v: unavailable without when to come back", name, away)
 						}
 					case eventloop.StateTxn:
 						if len(e.Txn.Then) == 0 && !away {
-							status = max(status, handle(eventloop.Completion{ID: e.ID, FromStateService: true, Status: 200, Txn: wire.TxnAnswer{Revision: 9}}))
+							if later := handle(eventloop.Completion{ID: e.ID, FromStateService: true, Outcome: eventloop.Succeeded, Txn: wire.TxnAnswer{Revision: 9}}); later != eventloop.NoReply {
+								code = later
+							}
 						}
 					case eventloop.StateWatch:
 						watch = e.ID
 					}
 				}
-				return status
+				return code
 			}
 			handle(eventloop.Tick{})
 			ev := c.ev
@@ -276,7 +278,7 @@
 			}
 			jobs, version := len(c0.own.Jobs()), c0.view.LeaseVersion
 			if got := handle(ev); got != want {
-				t.Errorf("%s, away: %v: answered %d, want %d", name, away, got, want)
+				t.Errorf("%s, away: %v: answered %q, want %q", name, away, got, want)
 			}
 			handle(eventloop.Tick{})
 			if len(c0.own.Jobs()) != jobs || c0.view.LeaseVersion != version || len(c0.ended) > 0 || c0.recovery != nil {
@@ -333,14 +335,14 @@
 		}
 		// Twenty seconds after the ask, less the margins, counted from the ask.
 		for _, after := range []time.Duration{18 * time.Second, 20 * time.Second} {
-			status, want := 0, c.clear && after < 19*time.Second
+			code, want := eventloop.NoReply, c.clear && after < 19*time.Second
 			for _, e := range core.Step(asked.Add(after), eventloop.HeartbeatRequest{Req: 1, Heartbeat: wire.Heartbeat{Machine: "host-000001", Type: "s4", AgentEpoch: 1, Sequence: uint64(after)}}) {
 				if r, ok := e.(eventloop.Reply); ok {
-					status = r.Status
+					code = r.Code
 				}
 			}
-			if (status == 503) == want {
-				t.Errorf("%s: a worker gets %d %v after the ask", name, status, after)
+			if (code == eventloop.ReplyUnavailable) == want {
+				t.Errorf("%s: a worker gets %s %v after the ask", name, code, after)
 			}
 		}
 	}
@@ -351,22 +353,22 @@
 // that is read is older than the one that was known when it was asked for.
 func TestLeaseValueWentBack(t *testing.T) {
 	for name, c := range map[string]struct {
-		status  int
+		outcome eventloop.Outcome
 		version uint64
 		later   bool // the known one was read only after the request
 		lost    bool
 	}{
-		"as known":                     {200, 5, false, false},
-		"newer":                        {200, 6, false, false},
-		"older":                        {200, 4, false, true},
-		"gone":                         {404, 0, false, true},
-		"no answer":                    {0, 0, false, false},
-		"refused":                      {503, 0, false, false},
-		"newer came while it was read": {200, 5, true, false},
+		"as known":                     {eventloop.Succeeded, 5, false, false},
+		"newer":                        {eventloop.Succeeded, 6, false, false},
+		"older":                        {eventloop.Succeeded, 4, false, true},
+		"gone":                         {eventloop.NotFound, 0, false, true},
+		"no answer":                    {eventloop.NoAnswer, 0, false, false},
+		"refused":                      {eventloop.Unavailable, 0, false, false},
+		"newer came while it was read": {eventloop.Succeeded, 5, true, false},
 	} {
 		core, now := newCore(t, []config.Team{{Name: "free"}}, wire.LeaseRecord{Term: 3, Leader: "n1"})
 		core.loop.Begin(now)
-		core.fetchLease(func(int) {})
+		core.fetchLease(func(eventloop.Outcome) {})
 		var get eventloop.StateGet
 		for _, e := range core.loop.Effects() {
 			if g, ok := e.(eventloop.StateGet); ok {
@@ -380,7 +382,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		core.Step(now.Add(time.Second), eventloop.Completion{ID: get.ID, FromStateService: true, Status: c.status, Pair: wire.Pair{Key: leaseKey, Value: raw, Version: c.version}})
+		core.Step(now.Add(time.Second), eventloop.Completion{ID: get.ID, FromStateService: true, Outcome: c.outcome, Pair: wire.Pair{Key: leaseKey, Value: raw, Version: c.version}})
 		if lost := core.recovery != nil; lost != c.lost {
 			t.Errorf("%s: takes the state for one that has lost data: %v", name, lost)
 		}
--- a/internal/core/controller/recover.go
+++ b/internal/core/controller/recover.go
@@ -48,7 +48,7 @@
 	ends     int
 }
 
-// Rebuilding tells whether this controller is rebuilding the state, and whether all
+// Recovering tells whether this controller is rebuilding the state, and whether all
 // that it knew is stored.
 func (c *Core) Recovering() (underWay, stored bool) {
 	return c.recovery != nil, c.recovery != nil && c.recovery.restored
@@ -144,7 +144,7 @@
 // request went out: unless it has lost something. An outage, a refusal, a slow or
 // late answer all show nothing of the kind.
 func (c *Core) witness(d *eventloop.Completion) {
-	if !d.FromStateService || (d.Status != 200 && d.Status != 409) {
+	if !d.FromStateService || (d.Outcome != eventloop.Succeeded && d.Outcome != eventloop.Conflict) {
 		return
 	}
 	if d.Pair.Key != "" { // what was read, not when: only that it was there by then
@@ -242,13 +242,13 @@
 }
 
 // readGeneration reads the state's generation.
-func (c *Core) readGeneration(then func(status int)) {
+func (c *Core) readGeneration(then func(outcome eventloop.Outcome)) {
 	c.loop.Emit(eventloop.StateGet{Key: genKey, ID: c.loop.Call(func(d eventloop.Completion) {
-		if d.Status == 200 {
+		if d.Outcome == eventloop.Succeeded {
 			c.applyGeneration(d.Pair.Value, d.Pair.Version)
 		}
-		c.waking.genRead = c.waking.genRead || d.Status == 200 || d.Status == 404
-		then(d.Status)
+		c.waking.genRead = c.waking.genRead || d.Outcome == eventloop.Succeeded || d.Outcome == eventloop.NotFound
+		then(d.Outcome)
 	})})
 }
 
@@ -318,7 +318,7 @@
 		}
 		rebuilt := g.Generation > r.gen
 		switch {
-		case d.Status != 200:
+		case d.Outcome != eventloop.Succeeded:
 			done()
 		case !rebuilt && !g.Rebuilding:
 			c.mark(version, done)
@@ -437,7 +437,7 @@
 	var read func(prefixes []string, after string)
 	read = func(prefixes []string, after string) {
 		c.loop.Emit(eventloop.StateRange{Prefix: prefixes[0], After: after, ID: c.loop.Call(func(d eventloop.Completion) {
-			if d.Status != 200 {
+			if d.Outcome != eventloop.Succeeded {
 				then(nil)
 				return
 			}
@@ -500,7 +500,7 @@
 			if c.recovery != r {
 				return
 			}
-			if d.Status == 200 && len(txns) > 1 {
+			if d.Outcome == eventloop.Succeeded && len(txns) > 1 {
 				txns = txns[1:]
 				write()
 				return
@@ -556,7 +556,7 @@
 		Txn: wire.Txn{If: []wire.Condition{{Key: leaseKey, Version: s.version}, {Key: genKey, Version: s.genVersion}}, Then: ops},
 		ID: c.loop.Call(func(d eventloop.Completion) {
 			r.busy, r.next = false, c.loop.Now.Add(recoverPause)
-			if d.Status == 200 && c.recovery == r {
+			if d.Outcome == eventloop.Succeeded && c.recovery == r {
 				c.log.Info("state rebuilt", "generation", g.Generation, "jobs", g.Jobs, "ends", g.Ends, "machines", g.Machines,
 					"term", rec.Term, "took", c.loop.Now.Sub(r.since))
 				c.beginAnew()
--- a/internal/core/controller/verify_test.go
+++ b/internal/core/controller/verify_test.go
@@ -57,8 +57,8 @@
 	if len(own) != 1 {
 		t.Fatalf("%d checks behind one without an answer", len(own))
 	}
-	a.step(eventloop.Completion{ID: own[0].ID, FromStateService: true, Status: 200})
-	if a.said[2].Status != 404 || a.said[1].Status != 0 {
+	a.step(eventloop.Completion{ID: own[0].ID, FromStateService: true, Outcome: eventloop.Succeeded})
+	if a.said[2].Code != eventloop.ReplyNotFound || a.said[1].Code != eventloop.NoReply {
 		t.Errorf("answered %v", a.said)
 	}
 	a.now = a.now.Add(a.verifyEvery())
@@ -66,8 +66,8 @@
 	if len(again) != 1 {
 		t.Fatalf("%d checks after a lost answer", len(again))
 	}
-	a.step(eventloop.Completion{ID: again[0].ID, FromStateService: true, Status: 200})
-	if a.said[1].Status != 404 {
+	a.step(eventloop.Completion{ID: again[0].ID, FromStateService: true, Outcome: eventloop.Succeeded})
+	if a.said[1].Code != eventloop.ReplyNotFound {
 		t.Errorf("answered %v", a.said)
 	}
 }
@@ -87,7 +87,7 @@
 	a.step(eventloop.QueryRequest{Req: 3, ID: "wk-000003"})
 	// Of a job that has come since its record is read, and nothing else.
 	a.now = a.verify.next
-	again, gets := a.step(eventloop.Completion{ID: both[0].ID, FromStateService: true, Status: 409, Txn: wire.TxnAnswer{Failed: []string{jobPrefix + "wk-000001"}}})
+	again, gets := a.step(eventloop.Completion{ID: both[0].ID, FromStateService: true, Outcome: eventloop.Conflict, Txn: wire.TxnAnswer{Failed: []string{jobPrefix + "wk-000001"}}})
 	if len(gets) != 1 || gets[0].Key != jobPrefix+"wk-000001" || len(again) != 1 {
 		t.Fatalf("reads %v, %d checks after a conflict", gets, len(again))
 	}
@@ -96,8 +96,8 @@
 			t.Error("what was asked since goes into the same check")
 		}
 	}
-	a.step(eventloop.Completion{ID: again[0].ID, FromStateService: true, Status: 200})
-	if a.said[2].Status != 404 || a.said[1].Status != 0 {
+	a.step(eventloop.Completion{ID: again[0].ID, FromStateService: true, Outcome: eventloop.Succeeded})
+	if a.said[2].Code != eventloop.ReplyNotFound || a.said[1].Code != eventloop.NoReply {
 		t.Errorf("answered %v", a.said)
 	}
 }
@@ -107,13 +107,13 @@
 func TestLostAnswerToAUser(t *testing.T) {
 	rec := wire.JobRecord{Job: wire.Job{ID: "wk-000001", Team: "free", Shape: wire.Array, Priority: "standard", Tasks: 2, CPUs: 2}, Owner: "n0"}
 	read := func(a *asked, g eventloop.StateGet, v any) (gets []eventloop.StateGet) {
-		d := eventloop.Completion{ID: g.ID, FromStateService: true, Status: 404}
+		d := eventloop.Completion{ID: g.ID, FromStateService: true, Outcome: eventloop.NotFound}
 		if v != nil {
 			raw, err := wire.Encode(v)
 			if err != nil {
 				t.Fatal(err)
 			}
-			d.Status, d.Pair = 200, wire.Pair{Key: g.Key, Value: raw, Version: 9}
+			d.Outcome, d.Pair = eventloop.Succeeded, wire.Pair{Key: g.Key, Value: raw, Version: 9}
 		}
 		_, gets = a.step(d)
 		return gets
@@ -128,13 +128,13 @@
 		t.Fatalf("%d reads of the record", len(gets))
 	}
 	read(a, gets[0], rec)
-	if a.said[1].Status != 200 && a.said[1].Status != 201 {
+	if a.said[1].Code != eventloop.ReplyOK && a.said[1].Code != eventloop.ReplyCreated {
 		t.Errorf("submission: %+v", a.said[1])
 	}
 	a.now = a.now.Add(time.Second)
 	txns, _ = a.step(eventloop.CancelRequest{Req: 2, ID: "wk-000001"})
 	for len(txns) > 0 && len(txns[0].Txn.Then) == 0 { // that it is not over
-		txns, _ = a.step(eventloop.Completion{ID: txns[0].ID, FromStateService: true, Status: 200, Txn: wire.TxnAnswer{Revision: 9}})
+		txns, _ = a.step(eventloop.Completion{ID: txns[0].ID, FromStateService: true, Outcome: eventloop.Succeeded, Txn: wire.TxnAnswer{Revision: 9}})
 	}
 	if len(txns) != 1 {
 		t.Fatalf("%d cancellations", len(txns))
@@ -144,7 +144,7 @@
 		t.Fatalf("%d reads after a cancellation without an answer", len(gets))
 	}
 	read(a, gets[0], wire.EndRecord{State: wire.Cancelled, Tasks: 2})
-	if b, ok := a.said[2].Body.(wire.JobAnswer); !ok || a.said[2].Status != 200 || b.State != wire.Cancelled {
+	if b, ok := a.said[2].Body.(wire.JobAnswer); !ok || a.said[2].Code != eventloop.ReplyOK || b.State != wire.Cancelled {
 		t.Errorf("cancellation: %+v", a.said[2])
 	}
 	// Not there: nobody is told anything but to come back.
@@ -154,7 +154,7 @@
 	for len(gets) > 0 {
 		gets = read(b, gets[0], nil)
 	}
-	if b.said[1].Status != 503 {
+	if b.said[1].Code != eventloop.ReplyUnavailable {
 		t.Errorf("a submission that is not there: %+v", b.said[1])
 	}
 }
@@ -169,7 +169,7 @@
 	}
 	a.now = a.verify.next
 	check, _ := a.step(eventloop.Tick{})
-	_, gets := a.step(eventloop.Completion{ID: check[0].ID, FromStateService: true, Status: 409, Txn: wire.TxnAnswer{Failed: []string{jobPrefix + "wk-000001"}}})
+	_, gets := a.step(eventloop.Completion{ID: check[0].ID, FromStateService: true, Outcome: eventloop.Conflict, Txn: wire.TxnAnswer{Failed: []string{jobPrefix + "wk-000001"}}})
 	if len(gets) != 1 {
 		t.Fatalf("%d readings for 10 who ask", len(gets))
 	}
@@ -177,10 +177,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	a.step(eventloop.Completion{ID: gets[0].ID, FromStateService: true, Status: 200, Pair: wire.Pair{Key: gets[0].Key, Value: raw, Version: 9}})
+	a.step(eventloop.Completion{ID: gets[0].ID, FromStateService: true, Outcome: eventloop.Succeeded, Pair: wire.Pair{Key: gets[0].Key, Value: raw, Version: 9}})
 	for req := range uint64(10) {
-		if a.said[req+1].Status != 200 {
-			t.Errorf("request %d is answered %d", req+1, a.said[req+1].Status)
+		if a.said[req+1].Code != eventloop.ReplyOK {
+			t.Errorf("request %d is answered %q", req+1, a.said[req+1].Code)
 		}
 	}
 }
@@ -193,24 +193,24 @@
 	for _, known := range []bool{true, false} {
 		a := newAsked(t)
 		txns, _ := a.step(eventloop.SubmitRequest{Req: 1, Job: rec.Job})
-		txns, _ = a.step(eventloop.Completion{ID: txns[0].ID, FromStateService: true, Status: 400})
-		if len(txns) != 1 || a.said[1].Status != 0 {
-			t.Fatalf("%d checks, answered %d", len(txns), a.said[1].Status)
+		txns, _ = a.step(eventloop.Completion{ID: txns[0].ID, FromStateService: true, Outcome: eventloop.Rejected})
+		if len(txns) != 1 || a.said[1].Code != eventloop.NoReply {
+			t.Fatalf("%d checks, answered %q", len(txns), a.said[1].Code)
 		}
 		if !known {
-			a.step(eventloop.Completion{ID: txns[0].ID, FromStateService: true, Status: 200})
-			if a.said[1].Status != 400 {
+			a.step(eventloop.Completion{ID: txns[0].ID, FromStateService: true, Outcome: eventloop.Succeeded})
+			if a.said[1].Code != eventloop.ReplyInvalid {
 				t.Errorf("unknown: %+v", a.said[1])
 			}
 			continue
 		}
-		_, gets := a.step(eventloop.Completion{ID: txns[0].ID, FromStateService: true, Status: 409, Txn: wire.TxnAnswer{Failed: []string{jobPrefix + "wk-000001"}}})
+		_, gets := a.step(eventloop.Completion{ID: txns[0].ID, FromStateService: true, Outcome: eventloop.Conflict, Txn: wire.TxnAnswer{Failed: []string{jobPrefix + "wk-000001"}}})
 		raw, err := wire.Encode(rec)
 		if err != nil {
 			t.Fatal(err)
 		}
-		a.step(eventloop.Completion{ID: gets[0].ID, FromStateService: true, Status: 200, Pair: wire.Pair{Key: gets[0].Key, Value: raw, Version: 9}})
-		if a.said[1].Status != 200 {
+		a.step(eventloop.Completion{ID: gets[0].ID, FromStateService: true, Outcome: eventloop.Succeeded, Pair: wire.Pair{Key: gets[0].Key, Value: raw, Version: 9}})
+		if a.said[1].Code != eventloop.ReplyOK {
 			t.Errorf("known: %+v", a.said[1])
 		}
 	}
--- a/internal/core/eventloop/eventloop.go
+++ b/internal/core/eventloop/eventloop.go
@@ -15,7 +15,7 @@
 type Loop struct {
 	Now time.Time // when the event happened
 
-	// Mark is noted with each call, see Marked.
+	// Generation is noted with each call, see Marked.
 	Generation uint64
 
 	out     []Effect
@@ -60,21 +60,21 @@
 	return true
 }
 
-// Marked is the mark that stood when an open call was made; 0 when nobody waits
+// CallGeneration is the mark that stood when an open call was made; 0 when nobody waits
 // for it.
 func (l *Loop) CallGeneration(id uint64) uint64 { return l.waiting[id].mark }
 
-// Forget drops all open calls: nobody hears of their completion.
+// DropCalls drops all open calls: nobody hears of their completion.
 func (l *Loop) DropCalls() { l.waiting = nil }
 
-// Answer answers a request.
-func (l *Loop) Reply(req uint64, status int, body any) {
-	l.Emit(Reply{Req: req, Status: status, Body: body})
+// Reply answers a request.
+func (l *Loop) Reply(req uint64, code ReplyCode, body any) {
+	l.Emit(Reply{Req: req, Code: code, Body: body})
 }
 
 // Unavailable tells whoever asked, at once, to come back.
 func (l *Loop) Unavailable(req uint64) {
-	l.Emit(Reply{Req: req, Status: 503, Body: wire.ErrorAnswer{Error: "not now"}, RetryAfter: 1})
+	l.Emit(Reply{Req: req, Code: ReplyUnavailable, Body: wire.ErrorAnswer{Error: "not now"}, RetryAfter: 1})
 }
 
 // Event is something that happened.
@@ -83,16 +83,16 @@
 // Tick says that time has passed.
 type Tick struct{}
 
-// Leave says that this process is to end: it gives up what it holds.
+// Shutdown says that this process is to end: it gives up what it holds.
 type Shutdown struct{}
 
-// ReportIn is a worker's report; its answer is a Reply with the same Req.
+// HeartbeatRequest is a worker's report; its answer is a Reply with the same Req.
 type HeartbeatRequest struct {
 	Req       uint64
 	Heartbeat wire.Heartbeat
 }
 
-// SubmitIn is a submission; Err says what is wrong with it. Job.ID is set
+// SubmitRequest is a submission; Err says what is wrong with it. Job.ID is set
 // when the id at least is valid.
 type SubmitRequest struct {
 	Req uint64
@@ -100,26 +100,54 @@
 	Err error
 }
 
-// PollIn asks for a job's state.
+// QueryRequest asks for a job's state.
 type QueryRequest struct {
 	Req uint64
 	ID  string
 }
 
-// CancelIn cancels a job.
+// CancelRequest cancels a job.
 type CancelRequest struct {
 	Req uint64
 	ID  string
 }
 
-// PeerIn is a frame from another controller.
+// PeerFrame is a frame from another controller.
 type PeerFrame struct{ Frame *peerpb.Frame }
 
-// Completed is the outcome of an effect that carries an ID. Status 0 means no
-// answer: it may have been executed or may yet be.
+// Outcome says how a call to the state service, the cloud or a worker ended.
+type Outcome string
+
+// The outcomes. Nothing was executed but with Succeeded, and perhaps with NoAnswer and
+// Failed.
+const (
+	// NoAnswer: the call may have been executed, or may yet be.
+	NoAnswer Outcome = ""
+	// Succeeded: the call was executed.
+	Succeeded Outcome = "succeeded"
+	// NotFound: the key does not exist.
+	NotFound Outcome = "not_found"
+	// Conflict: a condition of a transaction failed, or a worker has seen a higher
+	// token or is in another epoch.
+	Conflict Outcome = "conflict"
+	// Compacted: the state service no longer keeps the changes asked for.
+	Compacted Outcome = "compacted"
+	// Rejected: the request is malformed or too large, and will be at every try.
+	Rejected Outcome = "rejected"
+	// Throttled: the service's rate limit is reached.
+	Throttled Outcome = "throttled"
+	// Unavailable: the service is out, or the cloud has no capacity.
+	Unavailable Outcome = "unavailable"
+	// NotSent: the call never left this controller.
+	NotSent Outcome = "not_sent"
+	// Failed: any other answer.
+	Failed Outcome = "failed"
+)
+
+// Completion is the outcome of an effect that carries an ID, with what the answer holds.
 type Completion struct {
 	ID               uint64
-	Status           int
+	Outcome          Outcome
 	FromStateService bool // the state service was called
 	Txn              wire.TxnAnswer
 	Pair             wire.Pair
@@ -134,11 +162,37 @@
 // Effect is something the node has to do.
 type Effect any
 
+// ReplyCode says what kind of answer a request gets.
+type ReplyCode string
+
+// The kinds of replies.
+const (
+	// NoReply is the zero value: there is no reply.
+	NoReply ReplyCode = ""
+	// ReplyOK: the request is answered.
+	ReplyOK ReplyCode = "ok"
+	// ReplyCreated: the job is accepted, and was not known before.
+	ReplyCreated ReplyCode = "created"
+	// ReplyInvalid: the request is malformed; it is not to be repeated.
+	ReplyInvalid ReplyCode = "invalid"
+	// ReplyNotFound: there is no such job.
+	ReplyNotFound ReplyCode = "not_found"
+	// ReplyMisdirected: the worker is to report to another controller.
+	ReplyMisdirected ReplyCode = "misdirected"
+	// ReplyUnprocessable: the job can never run; it is not to be repeated.
+	ReplyUnprocessable ReplyCode = "unprocessable"
+	// ReplyUnavailable: the request is to be repeated later.
+	ReplyUnavailable ReplyCode = "unavailable"
+)
+
+// Success reports whether the request was carried out.
+func (c ReplyCode) Success() bool { return c == ReplyOK || c == ReplyCreated }
+
 // Reply answers a request. Past Until, if set, the right to answer has ended
-// and the request gets a 503 instead.
+// and the request gets ReplyUnavailable instead.
 type Reply struct {
 	Req        uint64
-	Status     int
+	Code       ReplyCode
 	Body       any
 	RetryAfter int
 	Until      time.Time
@@ -174,13 +228,13 @@
 // CloudTypes reads the machine types.
 type CloudTypes struct{ ID uint64 }
 
-// CloudRent rents machines.
+// CloudCreate rents machines.
 type CloudCreate struct {
 	ID      uint64
 	Request wire.InstanceRequest
 }
 
-// CloudRelease returns machines.
+// CloudDelete returns machines.
 type CloudDelete struct {
 	ID    uint64
 	Names []string
@@ -192,7 +246,7 @@
 	After string
 }
 
-// Direct sends commands straight to a worker. Past Until the right to send
+// WorkerCommands sends commands straight to a worker. Past Until the right to send
 // them has ended.
 type WorkerCommands struct {
 	ID       uint64
--- a/internal/core/feature/feature.go
+++ b/internal/core/feature/feature.go
@@ -35,7 +35,7 @@
 // Current is the range of this version.
 func Current() Range { return Range{Oldest, Newest} }
 
-// Gated tells whether the version knows of levels at all.
+// KnowsLevels tells whether the version knows of levels at all.
 func (r Range) KnowsLevels() bool { return r.Newest > 0 }
 
 // Follow returns a LevelError if a version cannot work under a level.
--- a/internal/core/feature/inventory.go
+++ b/internal/core/feature/inventory.go
@@ -1,6 +1,6 @@
 package feature
 
-// Form is one kind of stored value, or of message between controllers, in one
+// FormInfo is one kind of stored value, or of message between controllers, in one
 // form.
 type FormInfo struct {
 	Name          string // the beginning of the key, or the message
--- a/internal/core/feature/raise.go
+++ b/internal/core/feature/raise.go
@@ -8,26 +8,26 @@
 // Member is what the leader knows of one controller of the settings.
 type Member struct {
 	Name string
-	// Heard says that it has been heard a moment ago. Who is absent, cut off or
+	// Reachable says that it has been heard a moment ago. Who is absent, cut off or
 	// frozen is not.
 	Reachable bool
 	// Process is the incarnation heard last, and Holder that which the lease
 	// value names for its block; 0: none.
 	Process, LeaseIncarnation uint64
-	// Told is what that controller has stored of itself; the zero value: nothing.
+	// Announced is what that controller has stored of itself; the zero value: nothing.
 	Announced Announcement
-	// Seen is the level that it has read, as it was heard last.
+	// SeenLevel is the level that it has read, as it was heard last.
 	SeenLevel Level
 }
 
-// Told is what a process has stored of itself.
+// Announcement is what a process has stored of itself.
 type Announcement struct {
 	Incarnation uint64 // 0: nothing was stored
 	Levels      Range
 	Version     string
 }
 
-// Lacks returns why a controller keeps the cluster from a level, or "". What
+// MissingFor returns why a controller keeps the cluster from a level, or "". What
 // it told counts only as the process that it now is: an earlier one may have
 // been of another version.
 func (m Member) MissingFor(l Level) string {
@@ -49,16 +49,16 @@
 	return ""
 }
 
-// Word is what the operator has asked for.
+// OperatorRequest is what the operator has asked for.
 type OperatorRequest struct {
 	TargetLevel Level // to be raised to as soon as all can follow; 0: nothing asked
 	Hold        bool  // no raise by itself
 }
 
-// Raise decides when the level is raised. It belongs to a leader; a new one
+// LevelRaiser decides when the level is raised. It belongs to a leader; a new one
 // begins to wait anew. Its zero value never raises by itself.
 type LevelRaiser struct {
-	// After is for how long all must have been able to follow a level before it
+	// Delay is for how long all must have been able to follow a level before it
 	// is raised without the operator's word; 0: never.
 	Delay time.Duration
 
--- a/internal/core/leader/fleet.go
+++ b/internal/core/leader/fleet.go
@@ -105,7 +105,7 @@
 	r.endpoint, r.session = s.GetEndpoint(), s.GetAgentEpoch()
 }
 
-// Run rents, lists and returns machines.
+// RunAutoscaler rents, lists and returns machines.
 func (l *Leader) RunAutoscaler() {
 	if l.view.LeaseVersion == 0 {
 		return
@@ -365,9 +365,9 @@
 	l.loop.Emit(eventloop.CloudDelete{Names: names, ID: l.loop.Call(func(d eventloop.Completion) {
 		f.releasing = false
 		f.releaseAt = l.loop.Now.Add(300 * time.Millisecond)
-		if d.Status != 200 {
+		if d.Outcome != eventloop.Succeeded {
 			f.releaseAt = l.loop.Now.Add(time.Second)
-			if d.Status == 429 || d.Status == 503 { // not carried out
+			if d.Outcome == eventloop.Throttled || d.Outcome == eventloop.Unavailable { // not carried out
 				for _, n := range lost {
 					f.lost[n] = true
 				}
--- a/internal/core/leader/fleet_test.go
+++ b/internal/core/leader/fleet_test.go
@@ -17,21 +17,21 @@
 func TestMachineThatIsBackIsKept(t *testing.T) {
 	for _, c := range []struct {
 		name     string
-		status   int // of the first try
+		outcome  eventloop.Outcome // of the first try
 		back     bool
 		returned bool
 	}{
-		{"out, and it is back", 503, true, false},
-		{"too many requests, and it is back", 429, true, false},
-		{"no answer, and it is back", 0, true, true},
-		{"out, and it stays silent", 503, false, true},
+		{"out, and it is back", eventloop.Unavailable, true, false},
+		{"too many requests, and it is back", eventloop.Throttled, true, false},
+		{"no answer, and it is back", eventloop.NoAnswer, true, true},
+		{"out, and it stays silent", eventloop.Unavailable, false, true},
 	} {
 		l := newLeader(nil, wire.LeaseRecord{Term: 3, Leader: "n0", Incarnation: 7,
 			Blocks: map[string]wire.Block{"n0": {Grant: 3 << 16, Incarnation: 7}, "n1": {Grant: 3<<16 + 1, Incarnation: 9, Machines: []string{"host-000001"}}}})
 		start := l.loop.Now
 		number := uint64(0)
 		// run has the leader hear the holder and act, and tells what it returns.
-		run := func(after time.Duration, lost bool, status int) (returned bool) {
+		run := func(after time.Duration, lost bool, outcome eventloop.Outcome) (returned bool) {
 			l.loop.Begin(start.Add(after))
 			l.PublishStored(l.loop.Now)
 			number++
@@ -44,15 +44,15 @@
 			for _, e := range l.loop.Effects() {
 				if e, ok := e.(eventloop.CloudDelete); ok {
 					returned = slices.Contains(e.Names, "host-000001")
-					l.loop.Complete(eventloop.Completion{ID: e.ID, Status: status})
+					l.loop.Complete(eventloop.Completion{ID: e.ID, Outcome: outcome})
 				}
 			}
 			return returned
 		}
-		if !run(time.Second, true, c.status) {
+		if !run(time.Second, true, c.outcome) {
 			t.Fatalf("%s: not returned when it was lost", c.name)
 		}
-		if got := run(3*time.Second, !c.back, 200); got != c.returned {
+		if got := run(3*time.Second, !c.back, eventloop.Succeeded); got != c.returned {
 			t.Errorf("%s: returned two seconds later: %v, want %v", c.name, got, c.returned)
 		}
 	}
--- a/internal/core/leader/leader.go
+++ b/internal/core/leader/leader.go
@@ -24,21 +24,21 @@
 // writeGap spaces the leader's writes of the lease value.
 const writeGap = 100 * time.Millisecond
 
-// Local is the controller that leads. The leader asks it for what it hears of
+// LocalController is the controller that leads. The leader asks it for what it hears of
 // the others by message, or sooner than its own next renewal.
 type LocalController interface {
 	// Renewal describes the controller as renewals describe the others.
 	Renewal() *peerpb.Renewal
-	// Block calls f for each of its machines, in the order of their names,
+	// EachMachine calls f for each of its machines, in the order of their names,
 	// with how long it has been empty.
 	EachMachine(f func(name string, idle time.Duration, bad, lost bool))
-	// Guests are the machines of others, or of nobody, that report there.
+	// ForeignWorkers are the machines of others, or of nobody, that report there.
 	ForeignWorkers() []string
-	// Uses tells what its tasks use and want, for each limited team.
+	// TeamUse tells what its tasks use and want, for each limited team.
 	TeamUse() map[string]*peerpb.TeamUse
-	// Inflow is the work that has come in lately, in processors.
+	// ArrivalRate is the work that has come in lately, in processors.
 	ArrivalRate() float64
-	// Introduce lets it know how to reach machines of its block that have not
+	// UpdateMachineInfo lets it know how to reach machines of its block that have not
 	// reported yet; seen returns nil for those that nobody has heard of.
 	UpdateMachineInfo(seen func(name string) *peerpb.MachineInfo)
 }
@@ -119,10 +119,10 @@
 // Term is the term that it leads.
 func (l *Leader) Term() uint64 { return l.term }
 
-// End drops the leader: answers that still come change nothing.
+// Stop drops the leader: answers that still come change nothing.
 func (l *Leader) Stop() { l.ended = true }
 
-// Renewal takes in another controller's renewal. It returns false for one that
+// HandleRenewal takes in another controller's renewal. It returns false for one that
 // is older than what is known.
 func (l *Leader) HandleRenewal(r *peerpb.Renewal) bool {
 	node := r.GetNode()
@@ -143,17 +143,17 @@
 	return true
 }
 
-// Stir says that there is something to publish.
+// RequestPublish says that there is something to publish.
 func (l *Leader) RequestPublish() { l.dirty = true }
 
-// Again tells, once, that an answer has come in that should be acted on now.
+// PublishNow tells, once, that an answer has come in that should be acted on now.
 func (l *Leader) PublishNow() bool {
 	again := l.again
 	l.again = false
 	return again
 }
 
-// Due tells whether a lease value is to be proposed, and takes it for done.
+// TakePublishDue tells whether a lease value is to be proposed, and takes it for done.
 func (l *Leader) TakePublishDue() bool {
 	since := l.loop.Now.Sub(l.wrote)
 	if since < l.view.Params.PublishInterval && (!l.dirty || since < writeGap) {
@@ -163,10 +163,10 @@
 	return true
 }
 
-// Stored notes that a proposed value, sent at a moment, is stored.
+// PublishStored notes that a proposed value, sent at a moment, is stored.
 func (l *Leader) PublishStored(sent time.Time) { l.storedAt = sent }
 
-// Renewed notes that the view has a newer value, where before it had these blocks.
+// LeaseApplied notes that the view has a newer value, where before it had these blocks.
 // The leases that it renews count from now, whoever wrote it and however it came to
 // be known: a write without an answer may be carried out late, and its holders
 // then have the time that it gives them.
@@ -178,12 +178,12 @@
 	}
 }
 
-// TooLarge notes that a proposed value could not be written in one transaction.
+// ValueTooLarge notes that a proposed value could not be written in one transaction.
 // The same again would fail again, and with it every renewal: the next one
 // leaves out what can wait.
 func (l *Leader) ValueTooLarge() { l.lean, l.dirty = true, true }
 
-// Gone notes that the cloud has confirmed the end of a machine.
+// MachineDeleted notes that the cloud has confirmed the end of a machine.
 func (l *Leader) MachineDeleted(name string) {
 	l.gone[name] = true
 	delete(l.fleet.leaving, name)
@@ -196,7 +196,7 @@
 	l.dirty = true
 }
 
-// Seen describes a machine as far as anybody has told, or returns nil.
+// MachineInfo describes a machine as far as anybody has told, or returns nil.
 func (l *Leader) MachineInfo(name string) *peerpb.MachineInfo {
 	r := l.fleet.machines[name]
 	if r == nil {
--- a/internal/core/leader/level.go
+++ b/internal/core/leader/level.go
@@ -38,5 +38,5 @@
 	}
 }
 
-// Waits tells what keeps the level of the cluster from being raised.
+// LevelBlockers tells what keeps the level of the cluster from being raised.
 func (l *Leader) LevelBlockers() []string { return l.waits }
--- a/internal/core/leader/list.go
+++ b/internal/core/leader/list.go
@@ -41,7 +41,7 @@
 		if l.ended {
 			return
 		}
-		if d.Status != 200 {
+		if d.Outcome != eventloop.Succeeded {
 			at.next = l.loop.Now.Add(time.Second) // the same page again
 			return
 		}
--- a/internal/core/leader/list_test.go
+++ b/internal/core/leader/list_test.go
@@ -66,10 +66,10 @@
 			c.calls++
 			away := now.Sub(start) > 2*time.Minute && now.Sub(start) < 3*time.Minute
 			if away || rng.IntN(3) == 0 {
-				l.loop.Complete(eventloop.Completion{ID: e.ID, Status: 503})
+				l.loop.Complete(eventloop.Completion{ID: e.ID, Outcome: eventloop.Unavailable})
 				continue
 			}
-			l.loop.Complete(eventloop.Completion{ID: e.ID, Status: 200, Machines: c.page(e.After, now)})
+			l.loop.Complete(eventloop.Completion{ID: e.ID, Outcome: eventloop.Succeeded, Machines: c.page(e.After, now)})
 		}
 		for name := range l.fleet.leaving {
 			var i int
--- a/internal/core/leader/plan.go
+++ b/internal/core/leader/plan.go
@@ -357,13 +357,13 @@
 	asked := l.loop.Now
 	l.loop.Emit(eventloop.CloudCreate{Request: req, ID: l.loop.Call(func(d eventloop.Completion) {
 		f.renting--
-		if d.Status != 200 || len(d.Names) < req.Count {
+		if d.Outcome != eventloop.Succeeded || len(d.Names) < req.Count {
 			if o.Spot {
 				f.tight = l.loop.Now
 			}
 			f.refused[key] = l.loop.Now.Add(refusedFor)
 		}
-		l.log.Info("rented", "type", o.Type, "zone", o.Zone, "spot", o.Spot, "asked", req.Count, "got", len(d.Names), "status", d.Status)
+		l.log.Info("rented", "type", o.Type, "zone", o.Zone, "spot", o.Spot, "asked", req.Count, "got", len(d.Names), "outcome", d.Outcome)
 		for _, n := range d.Names {
 			if f.machines[n] == nil {
 				f.machines[n] = &rented{offerKey: key, rentedAt: asked, listedAt: l.loop.Now}
--- a/internal/core/leader/publish.go
+++ b/internal/core/leader/publish.go
@@ -17,7 +17,7 @@
 	return rec.LastGrant
 }
 
-// Regrant gives a controller's block to a new process of that controller. Its
+// GrantAnew gives a controller's block to a new process of that controller. Its
 // old one is dead, so nothing has to lapse, but all machines may run tasks
 // that the new process knows nothing of.
 func GrantAnew(rec *wire.LeaseRecord, node string, inc uint64) {
--- a/internal/core/leader/shares.go
+++ b/internal/core/leader/shares.go
@@ -64,7 +64,7 @@
 	rec.Shares[t.Name] = shares
 }
 
-// Trade looks whether shares are worth a write of their own.
+// RequestQuotaPublish looks whether shares are worth a write of their own.
 func (l *Leader) RequestQuotaPublish() {
 	rec := l.view.Lease.Clone()
 	l.dirty = l.dirty || l.raiseShares(&rec)
--- a/internal/core/leasevalue/leasevalue.go
+++ b/internal/core/leasevalue/leasevalue.go
@@ -33,7 +33,7 @@
 	// newest that versions from before levels read.
 	Form      = 3
 	FormPages = 2
-	// LeastOps is how many changes a transaction has to take for pages.
+	// MinTxnOpsForPages is how many changes a transaction has to take for pages.
 	MinTxnOpsForPages = reserve + 4
 	// PagePrefix is the prefix of the pages' keys; a number follows.
 	PagePrefix = "fc/m/"
@@ -61,7 +61,7 @@
 	reserve = 3
 )
 
-// Room is about how many machines a value and its pages can name in the worst
+// Capacity is about how many machines a value and its pages can name in the worst
 // case: pages half full, names three bytes apart, recalls and shares for all
 // teams on all controllers. Where a transaction takes too few changes for pages
 // the names stand in the value.
@@ -75,16 +75,16 @@
 	return max(0, int(free/reference*pagePart*float64(lim.ValueBytes)/6))
 }
 
-// RecallsMost is how many machines may be recalled at a time: unlike all
+// MaxDraining is how many machines may be recalled at a time: unlike all
 // others, their names stand in the value itself, at up to three bytes each.
 func MaxDraining(lim Limits) int { return lim.ValueBytes / 20 }
 
 // Errors of reading and writing.
 var (
-	// ErrMissing says that a page the value names is not known here, or not
+	// ErrPageMissing says that a page the value names is not known here, or not
 	// in that edition: the pages have to be read.
 	ErrPageMissing = errors.New("lease value: a page is missing")
-	// ErrFull says that the record does not fit within the limits.
+	// ErrTooLarge says that the record does not fit within the limits.
 	ErrTooLarge = errors.New("lease value: full")
 )
 
@@ -142,10 +142,10 @@
 	names   []string
 }
 
-// Book keeps the pages as far as they are known, and which of them the last
+// PageTable keeps the pages as far as they are known, and which of them the last
 // value named. The zero value is empty.
 type PageTable struct {
-	// Before reads forms from before levels only, as earlier versions do.
+	// PreLevels reads forms from before levels only, as earlier versions do.
 	PreLevels bool
 
 	pages  map[int]page
@@ -353,7 +353,7 @@
 	b.pages[n] = p
 }
 
-// Page tells which page names a machine; ok is false when none does.
+// PageOf tells which page names a machine; ok is false when none does.
 func (b *PageTable) PageOf(name string) (n int, ok bool) {
 	n, ok = b.pageOf[name]
 	return n, ok
--- a/internal/core/leasevalue/write.go
+++ b/internal/core/leasevalue/write.go
@@ -11,7 +11,7 @@
 	"fawncove/internal/wire"
 )
 
-// Draft is a record made ready to be stored.
+// PendingWrite is a record made ready to be stored.
 type PendingWrite struct {
 	Ops   []wire.Op // the value and the pages that change
 	Bytes int       // of the value, about, as its size is counted
@@ -20,7 +20,7 @@
 	used  []int
 }
 
-// Stored notes that the draft's transaction was carried out.
+// Commit notes that the draft's transaction was carried out.
 func (d *PendingWrite) Commit() {
 	for n, p := range d.pages {
 		d.book.put(n, p)
@@ -45,7 +45,7 @@
 	return []*wire.NameSet{&b.Machines, &b.Unreconciled, &b.Draining}
 }
 
-// Budget counts the changes that a next draft may still take.
+// WriteBudget counts the changes that a next draft may still take.
 type WriteBudget struct {
 	book    *PageTable
 	lim     Limits
@@ -54,17 +54,17 @@
 	fresh   map[string]int // names without a page that join a set
 }
 
-// Budget returns the budget of one transaction that also writes the value.
+// WriteBudget returns the budget of one transaction that also writes the value.
 func (b *PageTable) WriteBudget(lim Limits) *WriteBudget {
 	return &WriteBudget{book: b, lim: lim, left: max(1, lim.TxnOps-1-reserve), touched: map[int]bool{}, fresh: map[string]int{}}
 }
 
-// Close takes what is left: what can wait, waits. A write with nothing but
+// Exhaust takes what is left: what can wait, waits. A write with nothing but
 // takeovers always fits, as sets small enough to stand in the value fit on a few
 // pages.
 func (g *WriteBudget) Exhaust() { g.left = 0 }
 
-// Leave takes what it costs that a machine leaves its set, and tells whether
+// RemoveMachine takes what it costs that a machine leaves its set, and tells whether
 // there was enough.
 func (g *WriteBudget) RemoveMachine(name string) bool {
 	n, ok := g.book.PageOf(name)
@@ -79,7 +79,7 @@
 	return true
 }
 
-// Join takes what it costs that a machine joins a controller's set, and tells
+// AddMachine takes what it costs that a machine joins a controller's set, and tells
 // whether there was enough.
 func (g *WriteBudget) AddMachine(node string) bool {
 	per := int(pagePart * float64(g.lim.ValueBytes) / perName / 2)
--- a/internal/core/owner/forget_test.go
+++ b/internal/core/owner/forget_test.go
@@ -38,12 +38,12 @@
 			}
 			c := eventloop.Completion{ID: x.ID, FromStateService: true} // the first write gets no answer
 			if writes++; writes > 1 {
-				c.Status, c.Txn.Revision, stored = 200, 9, true
+				c.Outcome, c.Txn.Revision, stored = eventloop.Succeeded, 9, true
 			}
 			complete(o, at.Add(600*time.Millisecond), c)
 			for _, e := range o.loop.Effects() { // it is read, and not there
 				if x, ok := e.(eventloop.StateGet); ok && strings.HasPrefix(x.Key, PagePrefix) {
-					complete(o, at.Add(700*time.Millisecond), eventloop.Completion{ID: x.ID, FromStateService: true, Status: 404})
+					complete(o, at.Add(700*time.Millisecond), eventloop.Completion{ID: x.ID, FromStateService: true, Outcome: eventloop.NotFound})
 				}
 			}
 		}
--- a/internal/core/owner/guards_test.go
+++ b/internal/core/owner/guards_test.go
@@ -211,7 +211,7 @@
 		if at.Sub(kept) > lease {
 			t.Fatalf("its lease ends after %v", at.Sub(now))
 		}
-		if reply.Status == 200 {
+		if reply.Code == eventloop.ReplyOK {
 			kept = at
 			stays++
 			at = at.Add(config.Seconds(o.view.Settings.Cluster.Workers.ReportS))
@@ -263,7 +263,7 @@
 // answers are the tokens and commands with which reports were answered.
 func answers(effects []eventloop.Effect) (out []wire.HeartbeatAnswer) {
 	for _, e := range effects {
-		if r, ok := e.(eventloop.Reply); ok && r.Status == 200 {
+		if r, ok := e.(eventloop.Reply); ok && r.Code == eventloop.ReplyOK {
 			out = append(out, r.Body.(wire.HeartbeatAnswer))
 		}
 	}
@@ -407,7 +407,7 @@
 			if d, ok := e.(eventloop.WorkerCommands); ok {
 				asked, seq = asked+1, seq+1
 				r := reportOf(m, 1, seq, d.Body.Token)
-				complete(o, at, eventloop.Completion{ID: d.ID, Status: 200, Heartbeat: &r})
+				complete(o, at, eventloop.Completion{ID: d.ID, Outcome: eventloop.Succeeded, Heartbeat: &r})
 				effects = append(effects, o.loop.Effects()...)
 			}
 		}
--- a/internal/core/owner/job.go
+++ b/internal/core/owner/job.go
@@ -21,7 +21,7 @@
 	Version        uint64 // of the record
 	Ended          bool
 	ReportedCounts [2]int // counts heard from the owner, for display
-	// Writing says that an end is being stored; until NextWrite none is tried.
+	// EndInFlight says that an end is being stored; until NextWrite none is tried.
 	EndInFlight bool
 	RetryEndAt  time.Time
 
@@ -57,14 +57,14 @@
 	return now.Sub(time.UnixMilli(j.Record.SubmittedAtMs))
 }
 
-// Begun tells whether a task of the job was started, as far as is known here.
+// Started tells whether a task of the job was started, as far as is known here.
 func (j *Job) Started() bool { return j.begun }
 
 // Counts are the tasks that are completed and those that run, as far as the
 // job's owner knows. It may not have read yet what an earlier owner has told.
 func (j *Job) Counts() (done, running int) { return max(j.doneCount, j.ReportedCounts[0]), j.running() }
 
-// Hear takes counts that the job's owner tells. What was once completed remains so,
+// ApplyReportedCounts takes counts that the job's owner tells. What was once completed remains so,
 // also when an owner has not read of it yet.
 func (j *Job) ApplyReportedCounts(done, running int) {
 	j.ReportedCounts = [2]int{max(done, j.ReportedCounts[0]), running}
@@ -172,7 +172,7 @@
 	}
 }
 
-// End stops all tasks of a job that is over. The job is kept while some
+// EndJob stops all tasks of a job that is over. The job is kept while some
 // task of it is still somewhere, since that counts against the team's limit.
 func (o *Owner) EndJob(j *Job) {
 	if !j.Ended {
--- a/internal/core/owner/malformed_test.go
+++ b/internal/core/owner/malformed_test.go
@@ -22,14 +22,14 @@
 		answer eventloop.Completion
 		freed  bool
 	}{
-		"200 and nothing":           {eventloop.Completion{Status: 200}, false},
-		"200 with an empty report":  {eventloop.Completion{Status: 200, Heartbeat: &wire.Heartbeat{}}, false},
-		"200 with another's report": {eventloop.Completion{Status: 200, Heartbeat: other(func(*wire.Heartbeat) {})}, false},
-		"200 with nobody's report":  {eventloop.Completion{Status: 200, Heartbeat: other(func(r *wire.Heartbeat) { r.Machine = "" })}, false},
-		"a status of its own":       {eventloop.Completion{Status: 777, Heartbeat: other(func(r *wire.Heartbeat) { r.Machine = "host-000001" })}, false},
+		"200 and nothing":           {eventloop.Completion{Outcome: eventloop.Succeeded}, false},
+		"200 with an empty report":  {eventloop.Completion{Outcome: eventloop.Succeeded, Heartbeat: &wire.Heartbeat{}}, false},
+		"200 with another's report": {eventloop.Completion{Outcome: eventloop.Succeeded, Heartbeat: other(func(*wire.Heartbeat) {})}, false},
+		"200 with nobody's report":  {eventloop.Completion{Outcome: eventloop.Succeeded, Heartbeat: other(func(r *wire.Heartbeat) { r.Machine = "" })}, false},
+		"a status of its own":       {eventloop.Completion{Outcome: "777", Heartbeat: other(func(r *wire.Heartbeat) { r.Machine = "host-000001" })}, false},
 		"no answer":                 {eventloop.Completion{}, false},
-		"409 and nothing":           {eventloop.Completion{Status: 409}, true},
-		"409 with another's report": {eventloop.Completion{Status: 409, Heartbeat: other(func(*wire.Heartbeat) {})}, true},
+		"409 and nothing":           {eventloop.Completion{Outcome: eventloop.Conflict}, true},
+		"409 with another's report": {eventloop.Completion{Outcome: eventloop.Conflict, Heartbeat: other(func(*wire.Heartbeat) {})}, true},
 	} {
 		o, m, now := oneMachine(t, false)
 		report(o, now, eventloop.HeartbeatRequest{Req: 1, Heartbeat: reportOf(m, 1, 1, m.fence)})
--- a/internal/core/owner/move.go
+++ b/internal/core/owner/move.go
@@ -46,7 +46,7 @@
 	return j.first > since || o.seen >= since
 }
 
-// Slots are, for each type, zone and kind of machine, those of the block with most room
+// FreeSlots are, for each type, zone and kind of machine, those of the block with most room
 // of each resource.
 func (o *Owner) FreeSlots() []*peerpb.FreeSlot {
 	type group struct {
@@ -251,13 +251,13 @@
 	o.loop.Emit(eventloop.StateTxn{
 		Txn: wire.Txn{If: append(o.records.LeaseUnchanged(), wire.Condition{Key: key, Version: j.Version}), Then: []wire.Op{{Put: key, Value: value}}},
 		ID: o.loop.Call(func(d eventloop.Completion) {
-			switch d.Status {
-			case 200:
+			switch d.Outcome {
+			case eventloop.Succeeded:
 				o.log.Info("job moved", "job", rec.ID, "tasks", rec.Tasks, "waits", j.age(o.loop.Now).Round(time.Second), "to", node)
 				if at.Version = d.Txn.Revision; !j.Ended {
 					o.ApplyJob(rec, at)
 				}
-			case 0: // perhaps it does move, or will: see settleMoves
+			case eventloop.NoAnswer: // perhaps it does move, or will: see settleMoves
 			default:
 				j.leaving = 0
 			}
--- a/internal/core/owner/move_test.go
+++ b/internal/core/owner/move_test.go
@@ -106,15 +106,15 @@
 func TestMoveInDoubt(t *testing.T) {
 	for _, c := range []struct {
 		name           string
-		status         int
+		outcome        eventloop.Outcome
 		version, known uint64 // of the lease value, and up to which all changes are
 		goesOn         bool
 	}{
-		{"no answer", 0, 5, 90, false},
-		{"no answer, the value has changed", 0, 9, 8, false},
-		{"no answer, all is known", 0, 9, 9, true},
-		{"refused", 409, 5, 5, true},
-		{"stored", 200, 5, 5, false},
+		{"no answer", eventloop.NoAnswer, 5, 90, false},
+		{"no answer, the value has changed", eventloop.NoAnswer, 9, 8, false},
+		{"no answer, all is known", eventloop.NoAnswer, 9, 9, true},
+		{"refused", eventloop.Conflict, 5, 5, true},
+		{"stored", eventloop.Succeeded, 5, 5, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			o, j, now := crowded(t, nil)
@@ -123,7 +123,7 @@
 				t.Fatal("does not move")
 			}
 			at := o.loop.Now
-			complete(o, at, eventloop.Completion{ID: x.ID, FromStateService: true, Status: c.status, Txn: wire.TxnAnswer{Revision: 8}})
+			complete(o, at, eventloop.Completion{ID: x.ID, FromStateService: true, Outcome: c.outcome, Txn: wire.TxnAnswer{Revision: 8}})
 			rec := o.view.Lease
 			o.view.ApplyLease(rec, c.version)
 			o.loop.Begin(at)
--- a/internal/core/owner/owner.go
+++ b/internal/core/owner/owner.go
@@ -20,22 +20,22 @@
 	"fawncove/internal/wire"
 )
 
-// Records is the controller's dealing with the records of jobs in the state
+// JobRecords is the controller's dealing with the records of jobs in the state
 // service.
 type JobRecords interface {
-	// Ready tells whether workers may be answered at all.
+	// WorkersServed tells whether workers may be answered at all.
 	WorkersServed() bool
-	// Ended tells whether a job is known to be over.
+	// HasEnded tells whether a job is known to be over.
 	HasEnded(id string) bool
-	// End stores the end of a job in a state, unless it has ended otherwise. It
+	// StoreEnd stores the end of a job in a state, unless it has ended otherwise. It
 	// tries again as often as tries says when the record has changed; then is
 	// told whether an end is stored.
 	StoreEnd(j *Job, state string, tries int, then func(stored bool))
-	// Key is where a job's record is stored.
+	// JobKey is where a job's record is stored.
 	JobKey(id string) string
-	// Basis are the conditions under which the lease value has not changed since.
+	// LeaseUnchanged are the conditions under which the lease value has not changed since.
 	LeaseUnchanged() []wire.Condition
-	// Users tells how many submissions are being stored, and when one last found
+	// UserWrites tells how many submissions are being stored, and when one last found
 	// no room in the write limit.
 	UserWrites() (pending int, short time.Time)
 }
@@ -114,7 +114,7 @@
 	}
 }
 
-// Known notes that all changes of jobs up to a revision, and all made before a moment,
+// ChangesKnown notes that all changes of jobs up to a revision, and all made before a moment,
 // have been taken in.
 func (o *Owner) ChangesKnown(revision uint64, at time.Time) {
 	o.seen = max(o.seen, revision)
@@ -123,14 +123,14 @@
 	}
 }
 
-// Clear notes that all cancellations told to their users before a moment are known.
+// CancellationsKnown notes that all cancellations told to their users before a moment are known.
 func (o *Owner) CancellationsKnown(at time.Time) {
 	if at.After(o.clear) {
 		o.clear = at
 	}
 }
 
-// Holds tells how many machines are in the block.
+// MachineCount tells how many machines are in the block.
 func (o *Owner) MachineCount() int { return len(o.machines) }
 
 // Job returns a job that is not over, or whose tasks are not all gone, or nil.
@@ -139,14 +139,14 @@
 // Jobs are the jobs by id, not to be changed.
 func (o *Owner) Jobs() map[string]*Job { return o.jobs }
 
-// Stamp is what a job's record bears beside itself.
+// RecordInfo is what a job's record bears beside itself.
 type RecordInfo struct {
 	Version      uint64
 	FirstVersion uint64 // version under which it was first stored; 0: this one
 	Form         int    // of its envelope; 0: it has none
 }
 
-// Put takes in a job's record.
+// ApplyJob takes in a job's record.
 func (o *Owner) ApplyJob(rec wire.JobRecord, at RecordInfo) {
 	j := o.jobs[rec.ID]
 	if j == nil {
@@ -170,7 +170,7 @@
 	o.adopt(j)
 }
 
-// Store stores completed tasks and the ends of jobs, and reads what earlier
+// StorePending stores completed tasks and the ends of jobs, and reads what earlier
 // owners stored. It is called with every tick.
 func (o *Owner) StorePending() {
 	o.readPages()
@@ -181,21 +181,21 @@
 	o.rewrite()
 }
 
-// Check looks after the machines. It is called with every tick.
+// CheckMachines looks after the machines. It is called with every tick.
 func (o *Owner) CheckMachines() {
 	o.checkMachines()
 	o.askWorkers()
 	o.placeDue = true
 }
 
-// Work places what waits, unless that was done a moment ago, and sends what
+// PlaceAndSend places what waits, unless that was done a moment ago, and sends what
 // should not wait for reports. It ends every step.
 func (o *Owner) PlaceAndSend() {
 	o.placeSoon()
 	o.sendCommands()
 }
 
-// Leased takes in a newer lease value, in which the block is this process's:
+// ApplyBlock takes in a newer lease value, in which the block is this process's:
 // the machines it holds, those that are recalled, and the homes that it has.
 func (o *Owner) ApplyBlock(b wire.Block) {
 	held := make(map[string]bool, len(b.Machines)+len(b.Unreconciled))
@@ -229,7 +229,7 @@
 	o.releaseGuests(false)
 }
 
-// GivesBack tells whether a machine of the block is to go back to the leader.
+// ReleasesMachines tells whether a machine of the block is to go back to the leader.
 func (o *Owner) ReleasesMachines() bool {
 	for _, m := range o.machines {
 		if m.gave {
@@ -291,7 +291,7 @@
 	o.readPages()
 }
 
-// Lose forgets all that the right to a block was the ground of.
+// ReleaseBlock forgets all that the right to a block was the ground of.
 func (o *Owner) ReleaseBlock() {
 	clear(o.machines)
 	o.orderDue = true
--- a/internal/core/owner/owner_test.go
+++ b/internal/core/owner/owner_test.go
@@ -292,7 +292,7 @@
 					asked++
 					done := eventloop.Completion{ID: d.ID}
 					if answers {
-						done.Status = 200
+						done.Outcome = eventloop.Succeeded
 						done.Heartbeat = &wire.Heartbeat{Machine: names[0], Endpoint: names[0], Type: "s4", Zone: "x", Spot: true, AgentEpoch: 1, Sequence: uint64(100 + s), Token: d.Body.Token}
 					}
 					answer = append(answer, done)
--- a/internal/core/owner/pages.go
+++ b/internal/core/owner/pages.go
@@ -148,7 +148,7 @@
 		Txn: wire.Txn{If: []wire.Condition{{Key: key, Version: p.version}}, Then: []wire.Op{{Put: key, Value: stored}}},
 		ID: o.loop.Call(func(d eventloop.Completion) {
 			p.busy = false
-			if d.Status == 200 {
+			if d.Outcome == eventloop.Succeeded {
 				p.version, p.form = d.Txn.Revision, form
 				for entry, raw := range written {
 					o.storedAt(entry, raw)
@@ -156,7 +156,7 @@
 				return
 			}
 			p.nextTry = o.loop.Now.Add(time.Second)
-			if d.Status != 409 && d.Status != 0 {
+			if d.Outcome != eventloop.Conflict && d.Outcome != eventloop.NoAnswer {
 				p.dirtyAt = o.loop.Now.Add(-flushEvery)
 				return
 			}
@@ -165,8 +165,8 @@
 			o.loop.Emit(eventloop.StateGet{Key: key, ID: o.loop.Call(func(d eventloop.Completion) {
 				p.busy = false
 				stored := false
-				switch d.Status {
-				case 200:
+				switch d.Outcome {
+				case eventloop.Succeeded:
 					env, entries, err := o.readPage(key, d.Pair.Value)
 					p.version, p.form, p.unknown = d.Pair.Version, env.Form, env.Unknown
 					if err != nil {
@@ -174,7 +174,7 @@
 						return
 					}
 					stored = o.foundStored(written, entries)
-				case 404:
+				case eventloop.NotFound:
 					p.version = 0
 				}
 				if !stored {
@@ -213,7 +213,7 @@
 	return raw
 }
 
-// Merge returns the tasks in a or in b.
+// MergeCompleted returns the tasks in a or in b.
 func MergeCompleted(a, b []byte) []byte {
 	if len(a) < len(b) {
 		a, b = b, a
@@ -285,7 +285,7 @@
 	var next func(after string)
 	next = func(after string) {
 		o.loop.Emit(eventloop.StateRange{Prefix: PagePrefix, After: after, ID: o.loop.Call(func(d eventloop.Completion) {
-			if d.Status != 200 {
+			if d.Outcome != eventloop.Succeeded {
 				o.pagesBusy = false
 				o.pagesNext = o.loop.Now.Add(300 * time.Millisecond)
 				return
--- a/internal/core/owner/remember.go
+++ b/internal/core/owner/remember.go
@@ -35,7 +35,7 @@
 	return out
 }
 
-// Facts are the completed tasks of jobs that are not over, by entry of a page.
+// CompletedTasks are the completed tasks of jobs that are not over, by entry of a page.
 func (o *Owner) CompletedTasks() map[string][]byte {
 	out := maps.Clone(o.facts)
 	for id, j := range o.jobs {
@@ -52,7 +52,7 @@
 	return out
 }
 
-// PageFacts takes a page's entries apart.
+// ParsePage takes a page's entries apart.
 func (o *Owner) ParsePage(key string, value []byte) (map[string][]byte, error) {
 	_, entries, err := o.openPage(key, value)
 	if err != nil {
--- a/internal/core/owner/rewrite.go
+++ b/internal/core/owner/rewrite.go
@@ -41,7 +41,7 @@
 	whole  map[string]bool // records that do not fit with their envelope
 }
 
-// Left is how many records of this controller's homes are in an earlier form.
+// OutdatedRecords is how many records of this controller's homes are in an earlier form.
 func (o *Owner) OutdatedRecords() int { return len(o.rewriting.queue) }
 
 // plain tells whether a job's record is one to rewrite.
@@ -123,17 +123,17 @@
 	o.loop.Emit(eventloop.StateTxn{Txn: txn, ID: o.loop.Call(func(d eventloop.Completion) {
 		r.busy = false
 		switch {
-		case d.Status == 200:
+		case d.Outcome == eventloop.Succeeded:
 			for _, j := range batch {
 				// Unless the watch was faster, or a change since.
 				if d.Txn.Revision > j.Version {
 					j.Version, j.form = d.Txn.Revision, wire.EnvelopeForm
 				}
 			}
-		case d.Status == 400 && len(batch) == 1:
+		case d.Outcome == eventloop.Rejected && len(batch) == 1:
 			r.skip(batch[0].Record.ID)
 			o.log.Info("record stays in its earlier form, its envelope does not fit", "job", batch[0].Record.ID)
-		case d.Status == 400:
+		case d.Outcome == eventloop.Rejected:
 			r.single = len(batch) // to find which
 		}
 		// Whatever was not rewritten, or perhaps was, comes up with the next
--- a/internal/core/owner/rewrite_test.go
+++ b/internal/core/owner/rewrite_test.go
@@ -62,7 +62,7 @@
 			t.Errorf("%s: kept %v, %v", op.Put, kept, err)
 		}
 	}
-	o.loop.Complete(eventloop.Completion{ID: x.ID, Status: 200, Txn: wire.TxnAnswer{Revision: 200}})
+	o.loop.Complete(eventloop.Completion{ID: x.ID, Outcome: eventloop.Succeeded, Txn: wire.TxnAnswer{Revision: 200}})
 	if again, _ := rewrites(o, now.Add(20*time.Second)); len(again.Txn.Then) > 0 || o.OutdatedRecords() > 0 {
 		t.Errorf("rewritten again: %v", again.Txn.Then)
 	}
@@ -89,15 +89,15 @@
 		if x.ID == 0 {
 			break
 		}
-		status := 200
+		outcome := eventloop.Succeeded
 		if slices.ContainsFunc(x.Txn.Then, func(op wire.Op) bool { return op.Put == big }) {
-			status = 400
+			outcome = eventloop.Rejected
 		}
 		for _, op := range x.Txn.Then {
-			done[op.Put] = done[op.Put] || status == 200
+			done[op.Put] = done[op.Put] || outcome == eventloop.Succeeded
 		}
 		revision++
-		o.loop.Complete(eventloop.Completion{ID: x.ID, Status: status, Txn: wire.TxnAnswer{Revision: revision}})
+		o.loop.Complete(eventloop.Completion{ID: x.ID, Outcome: outcome, Txn: wire.TxnAnswer{Revision: revision}})
 	}
 	if len(done) != 5 || done[big] || o.OutdatedRecords() != 0 {
 		t.Errorf("rewritten %v, %d left", done, o.OutdatedRecords())
@@ -186,13 +186,13 @@
 		if get.Key != txn.Txn.Then[0].Put {
 			t.Fatalf("reads %q after a lost answer to %q", get.Key, txn.Txn.Then[0].Put)
 		}
-		d := eventloop.Completion{ID: get.ID, Status: 404}
+		d := eventloop.Completion{ID: get.ID, Outcome: eventloop.NotFound}
 		if carriedOut {
 			raw, err := wire.Encode(txn.Txn.Then[0].Value)
 			if err != nil {
 				t.Fatal(err)
 			}
-			d.Status, d.Pair = 200, wire.Pair{Key: get.Key, Value: raw, Version: 300}
+			d.Outcome, d.Pair = eventloop.Succeeded, wire.Pair{Key: get.Key, Value: raw, Version: 300}
 		}
 		effects(now, func() { o.loop.Complete(d) })
 		if got := j.stored != nil && j.stored[0] == 1; got != carriedOut {
--- a/internal/core/owner/tell.go
+++ b/internal/core/owner/tell.go
@@ -23,7 +23,7 @@
 	stuck = 15 * time.Second
 )
 
-// Describe tells the leader, in a renewal, of machines, waiting work and use.
+// FillRenewal tells the leader, in a renewal, of machines, waiting work and use.
 func (o *Owner) FillRenewal(r *peerpb.Renewal) {
 	r.Waiting = map[string]int32{}
 	var gave, lost, heard, unknown, bound []string
@@ -130,7 +130,7 @@
 // imagesMost bounds the images that a controller tells of.
 const imagesMost = 64
 
-// Room sums up what is free on this controller's machines.
+// Capacity sums up what is free on this controller's machines.
 func (o *Owner) Capacity() cluster.Capacity {
 	r := cluster.Capacity{Images: map[string]float64{}}
 	for _, m := range o.machines {
@@ -155,7 +155,7 @@
 	return r
 }
 
-// Measure returns the processors that this controller's tasks use or wait
+// ProcessorUse returns the processors that this controller's tasks use or wait
 // for, the part of them that may be on spot machines, and those of its block.
 func (o *Owner) ProcessorUse() (busy, spot, size float64) {
 	for _, m := range o.machines {
@@ -176,7 +176,7 @@
 	return busy, spot, size
 }
 
-// Block calls f for each machine of the block.
+// EachMachine calls f for each machine of the block.
 func (o *Owner) EachMachine(f func(name string, idle time.Duration, bad, lost bool)) {
 	for _, m := range o.machineOrder() {
 		idle := time.Duration(0)
@@ -187,7 +187,7 @@
 	}
 }
 
-// Guests are the machines of others, or of nobody, that reported lately.
+// ForeignWorkers are the machines of others, or of nobody, that reported lately.
 func (o *Owner) ForeignWorkers() []string {
 	var out []string
 	for n, g := range o.guests {
@@ -198,7 +198,7 @@
 	return out
 }
 
-// LogServed logs, once a minute, what became of jobs.
+// LogServiceReport logs, once a minute, what became of jobs.
 func (o *Owner) LogServiceReport() {
 	o.Served.Log(o.loop.Now, o.log, func() map[servicereport.Group]servicereport.Waiting {
 		out := map[servicereport.Group]servicereport.Waiting{}
@@ -219,10 +219,10 @@
 	})
 }
 
-// Inflow is the work that has come in lately, in processors.
+// ArrivalRate is the work that has come in lately, in processors.
 func (o *Owner) ArrivalRate() float64 { return o.inflow.Rate(o.loop.Now) }
 
-// Introduce learns how to reach machines that have not reported yet.
+// UpdateMachineInfo learns how to reach machines that have not reported yet.
 func (o *Owner) UpdateMachineInfo(seen func(name string) *peerpb.MachineInfo) {
 	for name, m := range o.machines {
 		if m.endpoint != "" {
@@ -238,7 +238,7 @@
 // newsMost bounds the jobs whose counts a frame carries, some 20 bytes each.
 const newsMost = 4000
 
-// News lists the counts of jobs that have changed since they were last told.
+// ChangedCounts lists the counts of jobs that have changed since they were last told.
 func (o *Owner) ChangedCounts() []*peerpb.JobProgress {
 	var out []*peerpb.JobProgress
 	for _, j := range o.jobs {
@@ -255,7 +255,7 @@
 	return out
 }
 
-// TellAnew has the next News list the counts of all jobs that have begun, not only of
+// ResendCounts has the next News list the counts of all jobs that have begun, not only of
 // those that change: another controller has missed what was told before.
 func (o *Owner) ResendCounts() {
 	for _, j := range o.jobs {
@@ -265,7 +265,7 @@
 	}
 }
 
-// Meet learns from others how to reach machines of the block.
+// LearnMachines learns from others how to reach machines of the block.
 func (o *Owner) LearnMachines(known []*peerpb.MachineInfo) {
 	for _, k := range known {
 		if m := o.machines[k.GetName()]; m != nil {
--- a/internal/core/owner/uses.go
+++ b/internal/core/owner/uses.go
@@ -74,7 +74,7 @@
 	return size
 }
 
-// Uses sums up what this controller's tasks use and want, for each team
+// TeamUse sums up what this controller's tasks use and want, for each team
 // with a limit or a guarantee.
 func (o *Owner) TeamUse() map[string]*peerpb.TeamUse {
 	out := map[string]*peerpb.TeamUse{}
@@ -185,7 +185,7 @@
 	return now
 }
 
-// Trade asks for a renewal when there is something new to promise.
+// RequestQuotaRenewal asks for a renewal when there is something new to promise.
 func (o *Owner) RequestQuotaRenewal() {
 	for team, s := range o.ceilings() {
 		if s != o.hold.UsableShare(team, o.view.Lease.Shares[team][o.view.Self]) {
@@ -197,7 +197,7 @@
 	}
 }
 
-// Promise puts what this controller can do without into a renewal, and keeps
+// ReserveQuota puts what this controller can do without into a renewal, and keeps
 // to it from now on, whether or not the leader ever reads that.
 func (o *Owner) ReserveQuota(r *peerpb.Renewal) {
 	ceilings := o.ceilings()
@@ -214,7 +214,7 @@
 	}
 }
 
-// TeamUses lists what this controller's tasks use and want, where others
+// PublishedTeamUse lists what this controller's tasks use and want, where others
 // have to know it.
 func (o *Owner) PublishedTeamUse() []*peerpb.TeamUse {
 	uses := o.TeamUse()
--- a/internal/core/owner/workers.go
+++ b/internal/core/owner/workers.go
@@ -224,11 +224,11 @@
 	return o.known().Add(cluster.LocalDuration(config.Seconds(w.CancelS-w.LeaseS) - 2*time.Second))
 }
 
-// Report handles a worker's report.
+// HandleHeartbeat handles a worker's report.
 func (o *Owner) HandleHeartbeat(e eventloop.HeartbeatRequest) {
 	r := &e.Heartbeat
 	if r.Machine == "" || r.AgentEpoch == 0 {
-		o.loop.Reply(e.Req, 400, wire.ErrorAnswer{Error: "stroj and smjena are needed"})
+		o.loop.Reply(e.Req, eventloop.ReplyInvalid, wire.ErrorAnswer{Error: "stroj and smjena are needed"})
 		return
 	}
 	if !o.records.WorkersServed() || !o.loop.Now.Before(o.answerUntil()) {
@@ -250,7 +250,7 @@
 		// Overtaken by a newer report, or from before this controller had the
 		// machine; it may be a copy, whose answer nobody reads. A worker that
 		// waits for it has its lease renewed and learns the token.
-		o.loop.Emit(eventloop.Reply{Req: e.Req, Status: 200, Until: o.answerUntil(),
+		o.loop.Emit(eventloop.Reply{Req: e.Req, Code: eventloop.ReplyOK, Until: o.answerUntil(),
 			Body: wire.HeartbeatAnswer{Token: o.tokenFor(m), Commands: []wire.Command{}}})
 		return
 	}
@@ -269,7 +269,7 @@
 	if slices.ContainsFunc(cmds, func(k wire.Command) bool { return k.Op == wire.CommandStart }) {
 		until = o.startUntil()
 	}
-	o.loop.Emit(eventloop.Reply{Req: e.Req, Status: 200, Until: until,
+	o.loop.Emit(eventloop.Reply{Req: e.Req, Code: eventloop.ReplyOK, Until: until,
 		Body: wire.HeartbeatAnswer{Token: o.tokenFor(m), Commands: cmds}})
 }
 
@@ -695,7 +695,7 @@
 	if owner == "" {
 		o.hold.RequestRenewal() // the leader has to hear of it
 		if !o.view.IsLeader && o.view.IsReachable(o.view.Lease.Leader, o.loop.Now) {
-			o.loop.Reply(e.Req, 421, wire.Redirect{Controller: o.view.Lease.Leader})
+			o.loop.Reply(e.Req, eventloop.ReplyMisdirected, wire.Redirect{Controller: o.view.Lease.Leader})
 			return
 		}
 		if o.view.IsLeader && r.Token <= o.hold.Token(0) {
@@ -709,7 +709,7 @@
 		// Where no worker gets through it is kept at first; later it is to try
 		// all the same.
 		if !first || !o.view.Peers[owner].NoHeartbeats {
-			o.loop.Reply(e.Req, 421, wire.Redirect{Controller: owner})
+			o.loop.Reply(e.Req, eventloop.ReplyMisdirected, wire.Redirect{Controller: owner})
 			return
 		}
 	}
@@ -746,7 +746,7 @@
 	if owner == o.view.Self || (owner != "" && o.view.Peers[owner] != nil && o.view.Peers[owner].AcceptsRaisedTokens) {
 		token = o.raise(g)
 	}
-	o.loop.Emit(eventloop.Reply{Req: e.Req, Status: 200, Until: o.answerUntil(),
+	o.loop.Emit(eventloop.Reply{Req: e.Req, Code: eventloop.ReplyOK, Until: o.answerUntil(),
 		Body: wire.HeartbeatAnswer{Token: token, Commands: cmds}})
 }
 
@@ -783,18 +783,18 @@
 	return answerTimeout + every
 }
 
-// Unreported tells whether the block has machines and none of them reports.
+// NoHeartbeats tells whether the block has machines and none of them reports.
 func (o *Owner) NoHeartbeats() bool {
 	return len(o.machines) > 0 && o.loop.Now.Sub(o.reported) > o.unreportedAfter()
 }
 
-// Deserted tells whether none of them has reported for so long that those who
+// AllWorkersElsewhere tells whether none of them has reported for so long that those who
 // turned to others must have been sent back here meanwhile.
 func (o *Owner) AllWorkersElsewhere() bool {
 	return len(o.machines) > 0 && o.loop.Now.Sub(o.reported) > o.unreportedAfter()+redirectEvery+2*time.Second
 }
 
-// Woke notes that this controller has stood still for a while: that it heard
+// ResumedAfter notes that this controller has stood still for a while: that it heard
 // nothing meanwhile says nothing about the machines. Else a leader that wakes
 // would return its whole block before it reads a single report.
 func (o *Owner) ResumedAfter(gap time.Duration) {
@@ -804,7 +804,7 @@
 	}
 }
 
-// GuestsOf counts the machines of each other controller's block that report
+// ForeignWorkersByHolder counts the machines of each other controller's block that report
 // here and stay.
 func (o *Owner) ForeignWorkersByHolder() map[string]int32 {
 	var out map[string]int32
@@ -911,19 +911,19 @@
 		return
 	}
 	switch {
-	case d.Status == 200 && d.Heartbeat != nil && d.Heartbeat.Machine == m.name:
+	case d.Outcome == eventloop.Succeeded && d.Heartbeat != nil && d.Heartbeat.Machine == m.name:
 		for _, r := range sent {
 			r.fence = 0 // answered: no copy is on its way
 		}
 		o.observe(m, d.Heartbeat, false)
-	case d.Status == 409 || d.Status == 400 || d.Status == -1:
+	case d.Outcome == eventloop.Conflict || d.Outcome == eventloop.Rejected || d.Outcome == eventloop.NotSent:
 		// Nothing was executed, and this request never will be.
 		for _, r := range sent {
 			if m.runs[runKey{r.task, r.attempt}] == r && !r.listed {
 				o.dropRun(r)
 			}
 		}
-		if d.Status == 409 && d.Heartbeat != nil && d.Heartbeat.Machine == m.name {
+		if d.Outcome == eventloop.Conflict && d.Heartbeat != nil && d.Heartbeat.Machine == m.name {
 			o.follow(m, d.Heartbeat.Token)
 			o.observe(m, d.Heartbeat, false)
 		}
@@ -992,10 +992,10 @@
 			ID: o.loop.Call(func(d eventloop.Completion) {
 				o.asking--
 				o.directDone(m, nil, d)
-				if d.Status == 409 && m.session != 0 && m.session != session {
+				if d.Outcome == eventloop.Conflict && m.session != 0 && m.session != session {
 					m.noDirect = time.Time{} // the wrong session; now it is known
 				}
-				if d.Status == 200 {
+				if d.Outcome == eventloop.Succeeded {
 					o.placeDue = true
 					// One that is mute stays silent however often it answers.
 					m.askAfter = o.loop.Now.Add(askAgain)
--- a/internal/core/owner/yield.go
+++ b/internal/core/owner/yield.go
@@ -67,7 +67,7 @@
 	return mine, least
 }
 
-// Unheard counts the machines that may run tasks which are not known here.
+// UnreconciledMachines counts the machines that may run tasks which are not known here.
 func (o *Owner) UnreconciledMachines() int {
 	n := 0
 	for _, m := range o.machines {
--- a/internal/core/quota/quota.go
+++ b/internal/core/quota/quota.go
@@ -64,20 +64,20 @@
 // slack is the difference, as a part of a target, that is not worth a change.
 const slack = 0.03
 
-// Stuck tells whether a controller's share is less than what its largest
+// TooSmallToStart tells whether a controller's share is less than what its largest
 // waiting task, or a gang beside what runs, needs, though its target has room
 // for that: then it cannot start at all, however little is missing.
 func TooSmallToStart(share, target float64, need Need) bool {
 	return need.MinToStart > share && need.MinToStart <= target+1
 }
 
-// Short tells whether a controller with this share has to wait for more
+// NeedsMore tells whether a controller with this share has to wait for more
 // although others hold more than their targets.
 func NeedsMore(share, target float64, need Need) bool {
 	return share+1+slack*target < min(need.Wanted, target) || TooSmallToStart(share, target, need)
 }
 
-// Gather names the controller that should get what the others cannot use, and how large
+// ConcentrateOn names the controller that should get what the others cannot use, and how large
 // its share has to be for that. Where what waits anywhere is larger than what is left of
 // the share there, and all that is left would do for one of them, work would else wait
 // beside room, with its team under its limit, until something ends: replicas never do.
@@ -108,7 +108,7 @@
 	return node, share, node != ""
 }
 
-// Lower returns the ceiling that a holder should promise: its target, when
+// ReservationFor returns the ceiling that a holder should promise: its target, when
 // another is short and it holds more than that, or a whole processor more when
 // another is stuck. It is never below what is used.
 func ReservationFor(share int, target, used float64, stuck bool) (ceiling int, yes bool) {
@@ -120,7 +120,7 @@
 	return c, float64(share) > float64(c)+1+slack*target
 }
 
-// Raise gives what no share takes to the controller for which it is gathered, and then
+// GrantFree gives what no share takes to the controller for which it is gathered, and then
 // to those below their targets, in proportion to what they lack, the short ones first.
 // It returns the new
 // shares, and whether a short one was raised or much was given.
@@ -180,7 +180,7 @@
 	return out, worth
 }
 
-// Holder keeps the promises that a controller has made and whose renewals no
+// Reservations keeps the promises that a controller has made and whose renewals no
 // lease value it has seen honours yet.
 type Reservations struct{ open []promise }
 
@@ -190,13 +190,13 @@
 	ceiling wire.Share
 }
 
-// Promise notes that the renewal with this number promises a ceiling. From now
+// Reserve notes that the renewal with this number promises a ceiling. From now
 // on Ceiling keeps to it.
 func (h *Reservations) Reserve(renewal uint64, team string, ceiling wire.Share) {
 	h.open = append(h.open, promise{renewal, team, ceiling})
 }
 
-// Honoured notes that the lease value honours the renewal with this number.
+// Acknowledge notes that the lease value honours the renewal with this number.
 // The shares in that value, and in later ones, are after its promises.
 func (h *Reservations) Acknowledge(renewal uint64) {
 	h.open = slices.DeleteFunc(h.open, func(p promise) bool { return p.renewal <= renewal })
@@ -206,7 +206,7 @@
 // made.
 func (h *Reservations) Reset() { h.open = nil }
 
-// Ceiling is what the team's tasks may use here: the share as the lease value
+// Usable is what the team's tasks may use here: the share as the lease value
 // names it, or less if less was promised.
 func (h *Reservations) Usable(team string, s wire.Share) wire.Share {
 	for _, p := range h.open {
--- a/internal/core/recovery/recovery.go
+++ b/internal/core/recovery/recovery.go
@@ -19,6 +19,7 @@
 	"maps"
 	"slices"
 
+	"fawncove/internal/core/eventloop"
 	"fawncove/internal/wire"
 )
 
@@ -50,15 +51,15 @@
 
 // Store is what of the state service's client Read needs.
 type Store interface {
-	Get(ctx context.Context, key string) (status int, p wire.Pair, err error)
+	Get(ctx context.Context, key string) (outcome eventloop.Outcome, p wire.Pair, err error)
 }
 
 // Read reads the state's generation; found is false if it was never rebuilt, nor is
 // being so.
 func Read(ctx context.Context, s Store) (g Generation, found bool, err error) {
-	status, p, err := s.Get(ctx, Key)
+	outcome, p, err := s.Get(ctx, Key)
 	switch {
-	case status == 404:
+	case outcome == eventloop.NotFound:
 		return Generation{Generation: 1}, false, nil
 	case err != nil:
 		return g, false, fmt.Errorf("generation: %w", err)
@@ -76,21 +77,21 @@
 	return g, err
 }
 
-// Memory is what a controller knows.
+// KnownState is what a controller knows.
 type KnownState struct {
 	Jobs           map[string]any            // what is to be stored for each job that is not over
 	Ends           map[string]wire.EndRecord // of jobs that are
 	CompletedTasks map[string][]byte         // completed tasks, a bit a task, by stretch of a job
 }
 
-// Found is what the state holds.
+// StoredState is what the state holds.
 type StoredState struct {
 	Jobs           map[string]uint64 // versions of their records
 	Ends           map[string]StoredEnd
 	CompletedTasks map[string][]byte
 }
 
-// End is the end of a job as the state has it.
+// StoredEnd is the end of a job as the state has it.
 type StoredEnd struct {
 	State   string
 	Version uint64
@@ -102,7 +103,7 @@
 // Limits are those of a transaction: its changes, and the bytes it should have.
 type Limits struct{ Ops, Bytes int }
 
-// Missing returns the transactions that store what is known and not there, those
+// MissingWrites returns the transactions that store what is known and not there, those
 // that keep a job from coming back to life first. Each changes nothing if the state
 // is not as it was found.
 func MissingWrites(m *KnownState, f *StoredState, k Keys, lim Limits) (txns []wire.Txn, jobs, ends int, err error) {
@@ -146,7 +147,7 @@
 	return b.done(), jobs, ends, nil
 }
 
-// Entries are the completed tasks that are known and not stored, as pages hold
+// CompletedTaskPages are the completed tasks that are known and not stored, as pages hold
 // them, in groups of about most bytes.
 func CompletedTaskPages(m *KnownState, f *StoredState, most int) []map[string]string {
 	var out []map[string]string
@@ -224,11 +225,11 @@
 // takes seconds, and nobody rebuilds minutes after everybody else.
 const termGap = 256
 
-// TermOf is the term that a token was made in: see package blocklease, and the grants
+// TermOfToken is the term that a token was made in: see package blocklease, and the grants
 // of a lease value.
 func TermOfToken(token uint64) uint64 { return token >> (24 + 16) }
 
-// Lease joins lease values, of before the loss and as found, into the one that the
+// MergeLease joins lease values, of before the loss and as found, into the one that the
 // state goes on with. Its leader holds all machines that any of them names, as those
 // of holders that ended, all homes and all shares. share is a team's limit.
 func MergeLease(node string, incarnation, generation uint64, share func(team string) wire.Share, views ...*View) wire.LeaseRecord {
--- a/internal/core/sched/fleet.go
+++ b/internal/core/sched/fleet.go
@@ -16,7 +16,7 @@
 	Count        int
 	RunS         float64
 	ProvisionAll bool // nothing of it may be left to machines that become free
-	// Starved work has waited long without any of it being started.
+	// Overdue work has waited long without any of it being started.
 	Overdue bool
 	SlackS  float64 // how long it may still wait and meet an aim
 }
@@ -37,7 +37,7 @@
 	BootS float64
 }
 
-// Order asks for machines of one offer.
+// ScaleOut asks for machines of one offer.
 type ScaleOut struct {
 	Offer
 	Count int
@@ -64,7 +64,7 @@
 	return took, cpus
 }
 
-// Merge adds up groups that differ in nothing but their count, so that the
+// MergeDemands adds up groups that differ in nothing but their count, so that the
 // choice of machines does not depend on how many controllers asked.
 func MergeDemands(list []Demand) []Demand {
 	type key struct {
@@ -96,13 +96,13 @@
 	return out
 }
 
-// Coarse rounds an amount up, so that jobs of about the same size count as
+// RoundUp rounds an amount up, so that jobs of about the same size count as
 // one group.
 func RoundUp(a Resources) Resources {
 	return Resources{CPUs: math.Ceil(a.CPUs*2) / 2, GPUs: a.GPUs, MemoryGB: math.Ceil(a.MemoryGB)}
 }
 
-// Absorb packs waiting tasks into machines that are on their way and returns
+// PackInto packs waiting tasks into machines that are on their way and returns
 // what is left.
 func PackInto(waiting []Demand, coming []Offer) []Demand {
 	left := slices.Clone(waiting)
@@ -119,7 +119,7 @@
 // market has, and asking several at once finds out sooner.
 const perOffer = 100
 
-// Rent chooses machines for the waiting tasks, at each step the offer that
+// PlanScaleOut chooses machines for the waiting tasks, at each step the offer that
 // takes most work for its price. most bounds the number of machines.
 func PlanScaleOut(left []Demand, offers []Offer, most int) []ScaleOut {
 	left = slices.Clone(left)
--- a/internal/core/sched/preempt.go
+++ b/internal/core/sched/preempt.go
@@ -7,7 +7,7 @@
 	LostWork float64 // seconds of work that would be repeated, times processors
 }
 
-// Evict chooses which of the victims on one machine to stop so that need fits
+// ChooseVictims chooses which of the victims on one machine to stop so that need fits
 // into room; the least work lost first, and the first of equals. It returns nil
 // when that cannot be, or when it would lose more than most. It changes the
 // order of the victims. Most machines are ruled out by their first victims, so
--- a/internal/core/sched/sched.go
+++ b/internal/core/sched/sched.go
@@ -4,7 +4,7 @@
 
 import "math"
 
-// Amount is what a task takes, or a machine has.
+// Resources is what a task takes, or a machine has.
 type Resources struct{ CPUs, GPUs, MemoryGB float64 }
 
 // slack absorbs rounding when many small amounts are added up.
@@ -20,7 +20,7 @@
 	return a.CPUs <= room.CPUs+slack && a.GPUs <= room.GPUs+slack && a.MemoryGB <= room.MemoryGB+slack
 }
 
-// Times tells how often a fits into room.
+// Copies tells how often a fits into room.
 func (a Resources) Copies(room Resources) int {
 	n := math.MaxInt32
 	for _, p := range [][2]float64{{a.CPUs, room.CPUs}, {a.GPUs, room.GPUs}, {a.MemoryGB, room.MemoryGB}} {
@@ -96,7 +96,7 @@
 	return l.GPUs <= 0 || used.GPUs+more.GPUs <= l.GPUs+slack
 }
 
-// Place is a machine as the choice of a place sees it.
+// Candidate is a machine as the choice of a place sees it.
 type Candidate struct {
 	Free          Resources
 	Size          Resources
--- a/internal/core/servicereport/report.go
+++ b/internal/core/servicereport/report.go
@@ -21,7 +21,7 @@
 	ErrNoCounts         = errors.New("log says nothing of what was served: LOG_LEVEL has to be info or debug")
 )
 
-// Sum adds up logs.
+// Summary adds up logs.
 type Summary struct {
 	groups map[Group]*Counts
 	sizes  map[Group]map[int]*Counts
--- a/internal/core/servicereport/servicereport.go
+++ b/internal/core/servicereport/servicereport.go
@@ -22,9 +22,9 @@
 )
 
 const (
-	// Every is how often a controller logs its counts.
+	// LogInterval is how often a controller logs its counts.
 	LogInterval = time.Minute
-	// Message is the message of such a line.
+	// LogMessage is the message of such a line.
 	LogMessage = "served"
 	// LateAfter is how long users expect even the largest jobs to wait at most
 	// until they begin.
@@ -98,13 +98,13 @@
 	f(t.sizes[class][b])
 }
 
-// Came counts a valid submission of a job that is not known yet.
+// Submitted counts a valid submission of a job that is not known yet.
 func (t *Tally) Submitted(j *wire.Job) { t.each(j, func(c *Counts) { c.Submitted++ }) }
 
 // Accepted counts a job whose record is stored.
 func (t *Tally) Accepted(j *wire.Job) { t.each(j, func(c *Counts) { c.Accepted++ }) }
 
-// Begun counts a job whose first task is started after a wait.
+// Started counts a job whose first task is started after a wait.
 func (t *Tally) Started(j *wire.Job, wait time.Duration) {
 	t.each(j, func(c *Counts) {
 		c.Started++
--- a/internal/edge/cloud/cloud.go
+++ b/internal/edge/cloud/cloud.go
@@ -10,6 +10,7 @@
 
 	"golang.org/x/time/rate"
 
+	"fawncove/internal/core/eventloop"
 	"fawncove/internal/edge/client"
 	"fawncove/internal/wire"
 )
@@ -58,31 +59,32 @@
 }
 
 // Types reads the machine types with their current prices.
-func (c *Cloud) Types(ctx context.Context) (int, wire.MachineTypes, error) {
+func (c *Cloud) Types(ctx context.Context) (eventloop.Outcome, wire.MachineTypes, error) {
 	var out wire.MachineTypes
 	status, err := c.read(ctx, "/machine_types", &out)
-	return status, out, err
+	return client.OutcomeOf(status), out, err
 }
 
-// Rent rents machines.
-func (c *Cloud) Rent(ctx context.Context, r wire.InstanceRequest) (int, wire.Names, error) {
+// Create rents machines.
+func (c *Cloud) Create(ctx context.Context, r wire.InstanceRequest) (eventloop.Outcome, wire.Names, error) {
 	var out wire.Names
 	status, err := c.do(ctx, "POST", "/machines", r, &out)
-	return status, out, err
+	return client.OutcomeOf(status), out, err
 }
 
-// Release returns machines. With status 200 they are gone for good.
-func (c *Cloud) Release(ctx context.Context, names []string) (int, error) {
-	return c.do(ctx, "POST", "/machines/release", wire.Names{Machines: names}, nil)
+// Delete returns machines to the cloud. With Succeeded they are gone for good.
+func (c *Cloud) Delete(ctx context.Context, names []string) (eventloop.Outcome, error) {
+	status, err := c.do(ctx, "POST", "/machines/release", wire.Names{Machines: names}, nil)
+	return client.OutcomeOf(status), err
 }
 
 // List reads a page of the machine list.
-func (c *Cloud) List(ctx context.Context, after string) (int, wire.MachineList, error) {
+func (c *Cloud) List(ctx context.Context, after string) (eventloop.Outcome, wire.MachineList, error) {
 	var out wire.MachineList
 	q := url.Values{"most": {strconv.Itoa(wire.MaxInstancesPerPage)}}
 	if after != "" {
 		q.Set("after", after)
 	}
 	status, err := c.read(ctx, "/machines?"+q.Encode(), &out)
-	return status, out, err
+	return client.OutcomeOf(status), out, err
 }
--- a/internal/edge/httpapi/httpapi.go
+++ b/internal/edge/httpapi/httpapi.go
@@ -60,7 +60,7 @@
 		}
 		var rep wire.Heartbeat
 		if err := wire.Decode(body, &rep); err != nil {
-			write(w, eventloop.Reply{Status: 400, Body: wire.ErrorAnswer{Error: "malformed report"}})
+			write(w, eventloop.Reply{Code: eventloop.ReplyInvalid, Body: wire.ErrorAnswer{Error: "malformed report"}})
 			return
 		}
 		serve(w, r, b, answerWithin, func(req uint64) eventloop.Event { return eventloop.HeartbeatRequest{Req: req, Heartbeat: rep} })
@@ -75,7 +75,7 @@
 		return body, true
 	}
 	// Too large is malformed as well: on any other status users would try again.
-	write(w, eventloop.Reply{Status: http.StatusBadRequest, Body: wire.ErrorAnswer{Error: "body too large or cut short"}})
+	write(w, eventloop.Reply{Code: eventloop.ReplyInvalid, Body: wire.ErrorAnswer{Error: "body too large or cut short"}})
 	return nil, false
 }
 
@@ -88,7 +88,7 @@
 	// The right to give this answer is checked when it is written, not when
 	// it was decided: a busy machine may have been in between.
 	if err != nil || (!reply.Until.IsZero() && !time.Now().Before(reply.Until)) {
-		reply = eventloop.Reply{Status: 503, Body: wire.ErrorAnswer{Error: "not now"}, RetryAfter: 1}
+		reply = eventloop.Reply{Code: eventloop.ReplyUnavailable, Body: wire.ErrorAnswer{Error: "not now"}, RetryAfter: 1}
 	}
 	write(w, reply)
 }
@@ -105,7 +105,27 @@
 	if reply.RetryAfter > 0 {
 		h.Set("Retry-After", strconv.Itoa(reply.RetryAfter))
 	}
-	w.WriteHeader(reply.Status)
+	w.WriteHeader(statusOf(reply.Code))
 	// A client that is gone reads no answer; there is nobody to tell.
 	_, _ = w.Write(body)
 }
+
+// statusOf returns the HTTP status for a kind of reply.
+func statusOf(code eventloop.ReplyCode) int {
+	switch code {
+	case eventloop.ReplyOK:
+		return http.StatusOK
+	case eventloop.ReplyCreated:
+		return http.StatusCreated
+	case eventloop.ReplyInvalid:
+		return http.StatusBadRequest
+	case eventloop.ReplyNotFound:
+		return http.StatusNotFound
+	case eventloop.ReplyMisdirected:
+		return http.StatusMisdirectedRequest
+	case eventloop.ReplyUnprocessable:
+		return http.StatusUnprocessableEntity
+	default:
+		return http.StatusServiceUnavailable
+	}
+}
--- a/internal/edge/httpapi/httpapi_test.go
+++ b/internal/edge/httpapi/httpapi_test.go
@@ -48,7 +48,7 @@
 
 // TestRoutes speaks to the handler over a loopback socket.
 func TestRoutes(t *testing.T) {
-	b := &backend{reply: eventloop.Reply{Status: 200, Body: wire.JobAnswer{ID: "wk-000001", State: wire.Pending}}}
+	b := &backend{reply: eventloop.Reply{Code: eventloop.ReplyOK, Body: wire.JobAnswer{ID: "wk-000001", State: wire.Pending}}}
 	s := httptest.NewServer(New(b))
 	defer s.Close()
 	for _, c := range []struct {
@@ -79,7 +79,7 @@
 // TestLateAnswer expects 503 for an answer whose right has ended before it
 // could be written.
 func TestLateAnswer(t *testing.T) {
-	b := &backend{reply: eventloop.Reply{Status: 200, Body: wire.HeartbeatAnswer{Token: 5}, Until: time.Now().Add(-time.Millisecond)}}
+	b := &backend{reply: eventloop.Reply{Code: eventloop.ReplyOK, Body: wire.HeartbeatAnswer{Token: 5}, Until: time.Now().Add(-time.Millisecond)}}
 	s := httptest.NewServer(New(b))
 	defer s.Close()
 	body, err := wire.Encode(wire.Heartbeat{Machine: "host-000001", AgentEpoch: 1, Sequence: 1})
--- a/internal/edge/node/node.go
+++ b/internal/edge/node/node.go
@@ -6,6 +6,7 @@
 	"context"
 	"fmt"
 	"log/slog"
+	"net/http"
 	"sync/atomic"
 	"time"
 
@@ -157,71 +158,77 @@
 		}
 	case eventloop.StateTxn:
 		back(func() eventloop.Completion {
-			status, a, err := n.store.Txn(ctx, e.Txn, e.LeaseBudget)
-			n.note("txn", status, err)
-			return eventloop.Completion{ID: e.ID, FromStateService: true, Status: status, Txn: a}
+			outcome, a, err := n.store.Txn(ctx, e.Txn, e.LeaseBudget)
+			n.logFailure("txn", outcome, err)
+			return eventloop.Completion{ID: e.ID, FromStateService: true, Outcome: outcome, Txn: a}
 		})
 	case eventloop.StateGet:
 		back(func() eventloop.Completion {
-			status, p, err := n.store.Get(ctx, e.Key)
-			n.note("get", status, err)
-			return eventloop.Completion{ID: e.ID, FromStateService: true, Status: status, Pair: p}
+			outcome, p, err := n.store.Get(ctx, e.Key)
+			n.logFailure("get", outcome, err)
+			return eventloop.Completion{ID: e.ID, FromStateService: true, Outcome: outcome, Pair: p}
 		})
 	case eventloop.StateRange:
 		back(func() eventloop.Completion {
-			status, p, err := n.store.Range(ctx, e.Prefix, e.After, 500)
-			n.note("range", status, err)
-			return eventloop.Completion{ID: e.ID, FromStateService: true, Status: status, Page: p}
+			outcome, p, err := n.store.Range(ctx, e.Prefix, e.After, 500)
+			n.logFailure("range", outcome, err)
+			return eventloop.Completion{ID: e.ID, FromStateService: true, Outcome: outcome, Page: p}
 		})
 	case eventloop.StateWatch:
 		back(func() eventloop.Completion {
-			status, w, err := n.store.Watch(ctx, e.Prefix, e.After, e.Hold)
-			n.note("watch", status, err)
-			return eventloop.Completion{ID: e.ID, FromStateService: true, Status: status, Changes: w}
+			outcome, w, err := n.store.Watch(ctx, e.Prefix, e.After, e.Hold)
+			n.logFailure("watch", outcome, err)
+			return eventloop.Completion{ID: e.ID, FromStateService: true, Outcome: outcome, Changes: w}
 		})
 	case eventloop.CloudTypes:
 		back(func() eventloop.Completion {
-			status, t, err := n.cloud.Types(ctx)
-			n.note("machine types", status, err)
-			return eventloop.Completion{ID: e.ID, Status: status, Types: t}
+			outcome, t, err := n.cloud.Types(ctx)
+			n.logFailure("machine types", outcome, err)
+			return eventloop.Completion{ID: e.ID, Outcome: outcome, Types: t}
 		})
 	case eventloop.CloudCreate:
 		back(func() eventloop.Completion {
-			status, names, err := n.cloud.Rent(ctx, e.Request)
-			n.note("rent", status, err)
-			return eventloop.Completion{ID: e.ID, Status: status, Names: names.Machines}
+			outcome, names, err := n.cloud.Create(ctx, e.Request)
+			n.logFailure("rent", outcome, err)
+			return eventloop.Completion{ID: e.ID, Outcome: outcome, Names: names.Machines}
 		})
 	case eventloop.CloudDelete:
 		back(func() eventloop.Completion {
-			status, err := n.cloud.Release(ctx, e.Names)
-			n.note("release", status, err)
-			return eventloop.Completion{ID: e.ID, Status: status}
+			outcome, err := n.cloud.Delete(ctx, e.Names)
+			n.logFailure("release", outcome, err)
+			return eventloop.Completion{ID: e.ID, Outcome: outcome}
 		})
 	case eventloop.CloudList:
 		back(func() eventloop.Completion {
-			status, l, err := n.cloud.List(ctx, e.After)
-			n.note("list", status, err)
-			return eventloop.Completion{ID: e.ID, Status: status, Machines: l}
+			outcome, l, err := n.cloud.List(ctx, e.After)
+			n.logFailure("list", outcome, err)
+			return eventloop.Completion{ID: e.ID, Outcome: outcome, Machines: l}
 		})
 	case eventloop.WorkerCommands:
 		back(func() eventloop.Completion {
 			// The right is checked again at the last moment.
 			if !time.Now().Before(e.Until) {
-				return eventloop.Completion{ID: e.ID, Status: statestore.NotSent}
+				return eventloop.Completion{ID: e.ID, Outcome: eventloop.NotSent}
 			}
 			ctx, cancel := context.WithTimeout(ctx, owner.DirectTimeout)
 			defer cancel()
 			var r wire.Heartbeat
-			status, err := n.workers.Do(ctx, "POST", "http://"+e.Endpoint+"/commands", e.Body, &r, 200, 409)
-			n.note("commands", status, err)
-			return eventloop.Completion{ID: e.ID, Status: status, Heartbeat: &r}
+			status, err := n.workers.Do(ctx, http.MethodPost, "http://"+e.Endpoint+"/commands", e.Body, &r, http.StatusOK, http.StatusConflict)
+			outcome := client.OutcomeOf(status)
+			n.logFailure("commands", outcome, err)
+			return eventloop.Completion{ID: e.ID, Outcome: outcome, Heartbeat: &r}
 		})
 	}
 }
 
-// note logs calls that failed.
-func (n *Node) note(what string, status int, err error) {
-	if err != nil || status >= 500 || status == 429 || status == 400 {
-		n.log.Debug("call failed", "what", what, "status", status, "err", err)
+// logFailure logs a call that failed.
+func (n *Node) logFailure(what string, outcome eventloop.Outcome, err error) {
+	switch outcome {
+	case eventloop.Rejected, eventloop.Throttled, eventloop.Unavailable, eventloop.Failed:
+	default:
+		if err == nil {
+			return
+		}
 	}
+	n.log.Debug("call failed", "what", what, "outcome", outcome, "err", err)
 }
--- a/internal/edge/statestore/statestore.go
+++ b/internal/edge/statestore/statestore.go
@@ -11,6 +11,7 @@
 
 	"golang.org/x/time/rate"
 
+	"fawncove/internal/core/eventloop"
 	"fawncove/internal/edge/client"
 	"fawncove/internal/wire"
 )
@@ -98,21 +99,18 @@
 	return nil
 }
 
-// NotSent is the status of a call that never left this controller.
-const NotSent = -1
-
 // call waits for its part of the limits, then as long for an answer as answers take.
 func (s *Store) call(ctx context.Context, b budget, writes int, f func(context.Context) (int, error)) (int, error) {
 	waiting, cancel := context.WithTimeout(ctx, budgetWait)
 	defer cancel()
 	if err := b.wait(waiting, writes); err != nil {
-		return NotSent, err
+		return client.NotSent, err
 	}
 	return s.patience.Call(ctx, f)
 }
 
 // Txn runs a transaction. Control transactions have a budget of their own.
-func (s *Store) Txn(ctx context.Context, t wire.Txn, control bool) (int, wire.TxnAnswer, error) {
+func (s *Store) Txn(ctx context.Context, t wire.Txn, control bool) (eventloop.Outcome, wire.TxnAnswer, error) {
 	var a wire.TxnAnswer
 	if t.If == nil {
 		t.If = []wire.Condition{}
@@ -127,20 +125,20 @@
 	status, err := s.call(ctx, b, len(t.Then), func(ctx context.Context) (int, error) {
 		return s.calls.Do(ctx, "POST", s.base+"/txn", t, &a, 200, 409)
 	})
-	return status, a, err
+	return client.OutcomeOf(status), a, err
 }
 
-// Get reads one key; status 404 says that it does not exist.
-func (s *Store) Get(ctx context.Context, key string) (int, wire.Pair, error) {
+// Get reads one key; NotFound says that it does not exist.
+func (s *Store) Get(ctx context.Context, key string) (eventloop.Outcome, wire.Pair, error) {
 	var p wire.Pair
 	status, err := s.call(ctx, s.work, 0, func(ctx context.Context) (int, error) {
 		return s.calls.Do(ctx, "GET", s.base+"/store/"+key, nil, &p, 200)
 	})
-	return status, p, err
+	return client.OutcomeOf(status), p, err
 }
 
 // Range reads a page of keys under a prefix.
-func (s *Store) Range(ctx context.Context, prefix, after string, most int) (int, wire.Page, error) {
+func (s *Store) Range(ctx context.Context, prefix, after string, most int) (eventloop.Outcome, wire.Page, error) {
 	var p wire.Page
 	q := url.Values{"under": {prefix}, "most": {strconv.Itoa(most)}}
 	if after != "" {
@@ -149,19 +147,19 @@
 	status, err := s.call(ctx, s.work, 0, func(ctx context.Context) (int, error) {
 		return s.calls.Do(ctx, "GET", s.base+"/store?"+q.Encode(), nil, &p, 200)
 	})
-	return status, p, err
+	return client.OutcomeOf(status), p, err
 }
 
 // Watch waits up to hold for changes under a prefix.
-func (s *Store) Watch(ctx context.Context, prefix string, after uint64, hold time.Duration) (int, wire.Changes, error) {
+func (s *Store) Watch(ctx context.Context, prefix string, after uint64, hold time.Duration) (eventloop.Outcome, wire.Changes, error) {
 	ctx, cancel := context.WithTimeout(ctx, hold+callTimeout)
 	defer cancel()
 	var c wire.Changes
 	if err := s.work.wait(ctx, 0); err != nil {
-		return NotSent, c, err
+		return eventloop.NotSent, c, err
 	}
 	q := url.Values{"under": {prefix}, "after": {strconv.FormatUint(after, 10)},
 		"holdMs": {strconv.FormatInt(hold.Milliseconds(), 10)}}
 	status, err := s.watches.Do(ctx, "GET", s.base+"/changes?"+q.Encode(), nil, &c, 200)
-	return status, c, err
+	return client.OutcomeOf(status), c, err
 }
--- a/internal/edge/statestore/statestore_test.go
+++ b/internal/edge/statestore/statestore_test.go
@@ -10,6 +10,7 @@
 
 	"golang.org/x/time/rate"
 
+	"fawncove/internal/core/eventloop"
 	"fawncove/internal/edge/client"
 	"fawncove/internal/wire"
 )
@@ -37,24 +38,24 @@
 	defer s.Close()
 	c := New(strings.TrimPrefix(s.URL, "http://"), 100, 100, 1)
 	ctx := context.Background()
-	if status, p, err := c.Get(ctx, "a/b"); status != 200 || p.Version != 412 || len(p.Value) == 0 || err != nil {
-		t.Errorf("get: %d %+v %v", status, p, err)
+	if outcome, p, err := c.Get(ctx, "a/b"); outcome != eventloop.Succeeded || p.Version != 412 || len(p.Value) == 0 || err != nil {
+		t.Errorf("get: %s %+v %v", outcome, p, err)
 	}
-	if status, _, _ := c.Get(ctx, "none"); status != 404 {
-		t.Errorf("get of nothing: %d", status)
+	if outcome, _, _ := c.Get(ctx, "none"); outcome != eventloop.NotFound {
+		t.Errorf("get of nothing: %s", outcome)
 	}
-	if status, p, err := c.Range(ctx, "c/", "c/7", 10); status != 200 || !p.More || p.Revision != 9 || err != nil {
-		t.Errorf("range: %d %+v %v", status, p, err)
+	if outcome, p, err := c.Range(ctx, "c/", "c/7", 10); outcome != eventloop.Succeeded || !p.More || p.Revision != 9 || err != nil {
+		t.Errorf("range: %s %+v %v", outcome, p, err)
 	}
-	if status, a, err := c.Txn(ctx, wire.Txn{}, false); status != 409 || a.Failed[0] != "a/b" || err != nil {
-		t.Errorf("txn: %d %+v %v", status, a, err)
+	if outcome, a, err := c.Txn(ctx, wire.Txn{}, false); outcome != eventloop.Conflict || a.Failed[0] != "a/b" || err != nil {
+		t.Errorf("txn: %s %+v %v", outcome, a, err)
 	}
-	if status, _, _ := c.Watch(ctx, "c/", 4, 50*time.Millisecond); status != 410 {
-		t.Errorf("watch: %d", status)
+	if outcome, _, _ := c.Watch(ctx, "c/", 4, 50*time.Millisecond); outcome != eventloop.Compacted {
+		t.Errorf("watch: %s", outcome)
 	}
 	s.Close()
-	if status, _, err := c.Get(ctx, "a/b"); status != 0 || err == nil {
-		t.Errorf("without a service: %d %v", status, err)
+	if outcome, _, err := c.Get(ctx, "a/b"); outcome != eventloop.NoAnswer || err == nil {
+		t.Errorf("without a service: %s %v", outcome, err)
 	}
 }
 
@@ -96,12 +97,12 @@
 	defer close(lost)
 	c := New(strings.TrimPrefix(s.URL, "http://"), 1000, 1000, 1)
 	c.patience = client.NewPatience(20*time.Millisecond, callTimeout)
-	if status, _, err := c.Get(t.Context(), "a"); status != 200 || err != nil {
-		t.Fatalf("get: %d %v", status, err)
+	if outcome, _, err := c.Get(t.Context(), "a"); outcome != eventloop.Succeeded || err != nil {
+		t.Fatalf("get: %s %v", outcome, err)
 	}
 	began := time.Now()
-	if status, _, err := c.Txn(t.Context(), wire.Txn{}, false); status != 0 || err == nil {
-		t.Errorf("a lost answer: %d %v", status, err)
+	if outcome, _, err := c.Txn(t.Context(), wire.Txn{}, false); outcome != eventloop.NoAnswer || err == nil {
+		t.Errorf("a lost answer: %s %v", outcome, err)
 	}
 	if took := time.Since(began); took >= callTimeout {
 		t.Errorf("told after %v that there is no answer", took)
--- a/internal/testkit/loopback/loopback.go
+++ b/internal/testkit/loopback/loopback.go
@@ -151,6 +151,50 @@
 	_, _ = w.Write(b) // nobody to tell
 }
 
+// statusOf returns the HTTP status of an outcome.
+func statusOf(outcome eventloop.Outcome) int {
+	switch outcome {
+	case eventloop.Succeeded:
+		return http.StatusOK
+	case eventloop.NotFound:
+		return http.StatusNotFound
+	case eventloop.Conflict:
+		return http.StatusConflict
+	case eventloop.Compacted:
+		return http.StatusGone
+	case eventloop.Rejected:
+		return http.StatusBadRequest
+	case eventloop.Throttled:
+		return http.StatusTooManyRequests
+	default:
+		return http.StatusServiceUnavailable
+	}
+}
+
+// codeOf returns the kind of reply that a controller's HTTP status stands for.
+func codeOf(status int) eventloop.ReplyCode {
+	switch status {
+	case 0:
+		return eventloop.NoReply
+	case http.StatusOK:
+		return eventloop.ReplyOK
+	case http.StatusCreated:
+		return eventloop.ReplyCreated
+	case http.StatusBadRequest:
+		return eventloop.ReplyInvalid
+	case http.StatusNotFound:
+		return eventloop.ReplyNotFound
+	case http.StatusMisdirectedRequest:
+		return eventloop.ReplyMisdirected
+	case http.StatusUnprocessableEntity:
+		return eventloop.ReplyUnprocessable
+	case http.StatusServiceUnavailable:
+		return eventloop.ReplyUnavailable
+	default:
+		return eventloop.ReplyCode(fmt.Sprintf("status %d", status))
+	}
+}
+
 // ---- the state service
 
 // txn is a transaction whose values stay as they are encoded.
@@ -189,7 +233,7 @@
 			}
 		}
 		if d, ok := do(h, r, now(func() eventloop.Completion { return h.world.Txn(t.wire()) })); ok {
-			write(w, d.Status, d.Txn)
+			write(w, statusOf(d.Outcome), d.Txn)
 		}
 	})
 	mux.HandleFunc("GET /store/{key...}", func(w http.ResponseWriter, r *http.Request) {
@@ -200,16 +244,16 @@
 		}))
 		switch {
 		case !ok:
-		case d.Status == 200:
+		case d.Outcome == eventloop.Succeeded:
 			write(w, 200, d.Pair)
 		default:
-			write(w, d.Status, d.Txn)
+			write(w, statusOf(d.Outcome), d.Txn)
 		}
 	})
 	mux.HandleFunc("GET /store", func(w http.ResponseWriter, r *http.Request) {
 		q := r.URL.Query()
 		if d, ok := do(h, r, now(func() eventloop.Completion { return h.world.Page(q.Get("under"), q.Get("after")) })); ok {
-			write(w, d.Status, d.Page)
+			write(w, statusOf(d.Outcome), d.Page)
 		}
 	})
 	mux.HandleFunc("GET /changes", func(w http.ResponseWriter, r *http.Request) {
@@ -224,7 +268,7 @@
 			h.world.Watch(q.Get("under"), after, time.Duration(hold)*time.Millisecond, answer)
 		})
 		if ok {
-			write(w, d.Status, d.Changes)
+			write(w, statusOf(d.Outcome), d.Changes)
 		}
 	})
 	return mux
@@ -247,10 +291,10 @@
 		d, ok := do(h, r, now(func() eventloop.Completion { return h.world.Rent(rent) }))
 		switch {
 		case !ok:
-		case d.Status == 200:
+		case d.Outcome == eventloop.Succeeded:
 			write(w, 200, wire.Names{Machines: d.Names})
 		default:
-			write(w, d.Status, wire.ErrorAnswer{Error: "no capacity"})
+			write(w, statusOf(d.Outcome), wire.ErrorAnswer{Error: "no capacity"})
 		}
 	})
 	mux.HandleFunc("POST /machines/release", func(w http.ResponseWriter, r *http.Request) {
@@ -292,15 +336,15 @@
 			return
 		}
 		type answer struct {
-			status int
-			report *wire.Heartbeat
+			outcome eventloop.Outcome
+			report  *wire.Heartbeat
 		}
 		a, ok := do(h, r, now(func() answer {
-			status, rep := h.world.Commands(machine, c)
-			return answer{status, rep}
+			outcome, rep := h.world.Commands(machine, c)
+			return answer{outcome, rep}
 		}))
-		if ok && a.status != 0 {
-			write(w, a.status, a.report)
+		if ok && a.outcome != eventloop.NoAnswer {
+			write(w, statusOf(a.outcome), a.report)
 		}
 	})
 	mux.HandleFunc("GET /status", func(w http.ResponseWriter, r *http.Request) {
@@ -390,30 +434,31 @@
 	var job wire.JobAnswer
 	var err error
 	r := eventloop.Reply{}
+	status := 0
 	switch e := ev.(type) {
 	case eventloop.SubmitRequest:
 		var submission map[string]any
 		if submission, err = asUser(&e.Job); err == nil {
-			r.Status, err = h.call.Do(ctx, http.MethodPost, base+"/v1/jobs", submission, &job, 200, 201)
+			status, err = h.call.Do(ctx, http.MethodPost, base+"/v1/jobs", submission, &job, 200, 201)
 		}
 		r.Body = job
 	case eventloop.QueryRequest:
-		r.Status, err = h.call.Do(ctx, http.MethodGet, base+"/v1/jobs/"+url.PathEscape(e.ID), nil, &job, 200)
+		status, err = h.call.Do(ctx, http.MethodGet, base+"/v1/jobs/"+url.PathEscape(e.ID), nil, &job, 200)
 		r.Body = job
 	case eventloop.CancelRequest:
-		r.Status, err = h.call.Do(ctx, http.MethodPost, base+"/v1/jobs/"+url.PathEscape(e.ID)+"/cancel", struct{}{}, &job, 200)
+		status, err = h.call.Do(ctx, http.MethodPost, base+"/v1/jobs/"+url.PathEscape(e.ID)+"/cancel", struct{}{}, &job, 200)
 		r.Body = job
 	case eventloop.HeartbeatRequest:
 		var raw msgpack.RawMessage
-		r.Status, err = h.call.Do(ctx, http.MethodPost, base+"/checkin", e.Heartbeat, &raw, 200, 421)
+		status, err = h.call.Do(ctx, http.MethodPost, base+"/checkin", e.Heartbeat, &raw, 200, 421)
 		var a wire.HeartbeatAnswer
 		var to wire.Redirect
 		switch {
 		case err != nil:
-		case r.Status == 200:
+		case status == http.StatusOK:
 			err = wire.Decode(raw, &a)
 			r.Body = a
-		case r.Status == 421:
+		case status == http.StatusMisdirectedRequest:
 			err = wire.Decode(raw, &to)
 			r.Body = to
 		}
@@ -424,5 +469,6 @@
 		h.log.Debug("no answer", "from", base, "err", err)
 		return eventloop.Reply{}
 	}
+	r.Code = codeOf(status)
 	return r
 }
--- a/internal/testkit/loopback/loopback_test.go
+++ b/internal/testkit/loopback/loopback_test.go
@@ -31,40 +31,40 @@
 func TestStateService(t *testing.T) {
 	h, ctx := start(t), t.Context()
 	s := statestore.New(h.State, 1000, 1000, 1)
-	put := func(version uint64, v any) int {
-		status, _, err := s.Txn(ctx, wire.Txn{If: []wire.Condition{{Key: "a/b", Version: version}}, Then: []wire.Op{{Put: "a/b", Value: v}}}, false)
+	put := func(version uint64, v any) eventloop.Outcome {
+		outcome, _, err := s.Txn(ctx, wire.Txn{If: []wire.Condition{{Key: "a/b", Version: version}}, Then: []wire.Op{{Put: "a/b", Value: v}}}, false)
 		if err != nil {
 			t.Fatal(err)
 		}
-		return status
+		return outcome
 	}
 	rec := wire.JobRecord{Job: wire.Job{ID: "wk-000001", Tasks: 70000, CPUs: 2}, SubmittedAtMs: 1 << 41}
-	if got := put(0, rec); got != 200 {
-		t.Fatalf("put: %d", got)
+	if got := put(0, rec); got != eventloop.Succeeded {
+		t.Fatalf("put: %s", got)
 	}
-	if got := put(0, rec); got != 409 {
-		t.Errorf("put under a version that it had: %d", got)
+	if got := put(0, rec); got != eventloop.Conflict {
+		t.Errorf("put under a version that it had: %s", got)
 	}
-	status, pair, err := s.Get(ctx, "a/b")
+	outcome, pair, err := s.Get(ctx, "a/b")
 	want, encodeErr := wire.Encode(rec)
-	if err != nil || encodeErr != nil || status != 200 || string(pair.Value) != string(want) || pair.Version != 1 {
-		t.Errorf("get: %d %+v %v", status, pair, err)
+	if err != nil || encodeErr != nil || outcome != eventloop.Succeeded || string(pair.Value) != string(want) || pair.Version != 1 {
+		t.Errorf("get: %s %+v %v", outcome, pair, err)
 	}
 	// A put without data is refused, so an empty value must have its own.
-	if status, _, err := s.Txn(ctx, wire.Txn{Then: []wire.Op{{Put: "a/empty", Value: map[string]string{}}}}, false); status != 200 || err != nil {
-		t.Errorf("an empty map: %d %v", status, err)
+	if outcome, _, err := s.Txn(ctx, wire.Txn{Then: []wire.Op{{Put: "a/empty", Value: map[string]string{}}}}, false); outcome != eventloop.Succeeded || err != nil {
+		t.Errorf("an empty map: %s %v", outcome, err)
 	}
-	if status, _, err := s.Txn(ctx, wire.Txn{Then: []wire.Op{{Put: "a/none"}}}, false); status != 400 || err != nil {
-		t.Errorf("no value: %d %v", status, err)
+	if outcome, _, err := s.Txn(ctx, wire.Txn{Then: []wire.Op{{Put: "a/none"}}}, false); outcome != eventloop.Rejected || err != nil {
+		t.Errorf("no value: %s %v", outcome, err)
 	}
-	if status, _, err := s.Get(ctx, "a/c"); status != 404 || err != nil {
-		t.Errorf("no such key: %d %v", status, err)
+	if outcome, _, err := s.Get(ctx, "a/c"); outcome != eventloop.NotFound || err != nil {
+		t.Errorf("no such key: %s %v", outcome, err)
 	}
-	if status, page, err := s.Range(ctx, "a/", "", 10); status != 200 || err != nil || len(page.Pairs) != 2 {
-		t.Errorf("range: %d %+v %v", status, page, err)
+	if outcome, page, err := s.Range(ctx, "a/", "", 10); outcome != eventloop.Succeeded || err != nil || len(page.Pairs) != 2 {
+		t.Errorf("range: %s %+v %v", outcome, page, err)
 	}
-	if status, c, err := s.Watch(ctx, "a/", 0, 10*time.Second); status != 200 || err != nil || len(c.Log) != 2 || c.Log[0].Put != "a/b" {
-		t.Errorf("watch: %d %+v %v", status, c, err)
+	if outcome, c, err := s.Watch(ctx, "a/", 0, 10*time.Second); outcome != eventloop.Succeeded || err != nil || len(c.Log) != 2 || c.Log[0].Put != "a/b" {
+		t.Errorf("watch: %s %+v %v", outcome, c, err)
 	}
 }
 
@@ -73,28 +73,28 @@
 func TestRentedMachinesHaveSockets(t *testing.T) {
 	h, ctx := start(t), t.Context()
 	c := cloud.New(h.Cloud, 1000, 1)
-	if status, types, err := c.Types(ctx); status != 200 || err != nil || len(types.Types) == 0 {
-		t.Fatalf("machine types: %d %+v %v", status, types, err)
+	if outcome, types, err := c.Types(ctx); outcome != eventloop.Succeeded || err != nil || len(types.Types) == 0 {
+		t.Fatalf("machine types: %s %+v %v", outcome, types, err)
 	}
 	rent := wire.InstanceRequest{ID: "r-1", Type: "s4", Zone: "x", Count: 2}
 	var names wire.Names
 	for range 20 { // the cloud refuses now and then
-		status, n, err := c.Rent(ctx, rent)
+		outcome, n, err := c.Create(ctx, rent)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if status == 200 {
+		if outcome == eventloop.Succeeded {
 			names = n
 			break
 		}
 	}
-	if _, again, err := c.Rent(ctx, rent); err != nil || len(names.Machines) != 2 || len(again.Machines) != 2 || again.Machines[0] != names.Machines[0] {
+	if _, again, err := c.Create(ctx, rent); err != nil || len(names.Machines) != 2 || len(again.Machines) != 2 || again.Machines[0] != names.Machines[0] {
 		t.Errorf("rented %v, then %v, %v", names, again, err)
 	}
 	h.mu.Lock()
 	open := len(h.machines)
 	h.mu.Unlock()
-	if _, err := c.Release(ctx, names.Machines); err != nil || open != 2 {
+	if _, err := c.Delete(ctx, names.Machines); err != nil || open != 2 {
 		t.Errorf("%d machines have sockets, %v", open, err)
 	}
 	h.Look(func(w *simtest.Driven) {
@@ -134,7 +134,7 @@
 	h := start(t)
 	got := make(chan eventloop.Reply, 1)
 	h.Ask("n0", eventloop.QueryRequest{ID: "wk-000001"}, func(r eventloop.Reply) { got <- r })
-	if r := <-got; r.Status != 0 {
+	if r := <-got; r.Code != eventloop.NoReply {
 		t.Errorf("from nobody: %+v", r)
 	}
 }
--- a/internal/testkit/simtest/actors.go
+++ b/internal/testkit/simtest/actors.go
@@ -203,12 +203,12 @@
 	n := w.nodes[k.node]
 	r := k.body()
 	finish := func(reply eventloop.Reply) {
-		if k.gone || !k.busy || k.flight != flight || w.now < k.hang || (reply.Status != 0 && w.now < k.deaf) {
+		if k.gone || !k.busy || k.flight != flight || w.now < k.hang || (reply.Code != eventloop.NoReply && w.now < k.deaf) {
 			return // dropped: too late, or the machine hangs, or hears nothing
 		}
 		k.busy = false
 		switch {
-		case reply.Status == 200:
+		case reply.Code == eventloop.ReplyOK:
 			a := reply.Body.(wire.HeartbeatAnswer)
 			k.expire()
 			if k.session != session || a.Token < k.token {
@@ -218,7 +218,7 @@
 			k.accept(a.Token, a.Commands)
 		default:
 			k.node = (k.node + 1) % len(w.nodes)
-			if to, ok := reply.Body.(wire.Redirect); ok && reply.Status == 421 {
+			if to, ok := reply.Body.(wire.Redirect); ok && reply.Code == eventloop.ReplyMisdirected {
 				for i, p := range w.nodes {
 					if p.name == to.Controller {
 						k.node = i
@@ -307,14 +307,14 @@
 }
 
 // commands serves /commands.
-func (k *worker) commands(c wire.Commands) (int, *wire.Heartbeat) {
+func (k *worker) commands(c wire.Commands) (eventloop.Outcome, *wire.Heartbeat) {
 	if c.Token < k.token || c.AgentEpoch != k.session {
 		r := k.body()
-		return 409, &r
+		return eventloop.Conflict, &r
 	}
 	k.accept(c.Token, c.Commands)
 	r := k.body()
-	return 200, &r
+	return eventloop.Succeeded, &r
 }
 
 // started checks what only the moment of a start shows.
@@ -470,8 +470,8 @@
 func (u *user) submit() {
 	u.submitted = true
 	u.anyNode(func(req uint64) eventloop.Event { return eventloop.SubmitRequest{Req: req, Job: u.job} }, func(r eventloop.Reply) {
-		switch r.Status {
-		case 200, 201:
+		switch r.Code {
+		case eventloop.ReplyOK, eventloop.ReplyCreated:
 			first := !u.accepted
 			u.accepted = true
 			u.answeredAt = u.w.now
@@ -486,8 +486,8 @@
 			if u.w.rng.IntN(4) == 0 {
 				u.w.after(time.Duration(u.w.rng.IntN(60))*time.Second, u.submit) // a late retry
 			}
-		case 400, 422:
-			u.w.breakRule("forgotten: submission of %s gets %d %v", u.job.ID, r.Status, r.Body)
+		case eventloop.ReplyInvalid, eventloop.ReplyUnprocessable:
+			u.w.breakRule("forgotten: submission of %s gets %s %v", u.job.ID, r.Code, r.Body)
 		default:
 			u.w.after(time.Second, u.submit)
 		}
@@ -498,11 +498,11 @@
 	accepted := u.accepted
 	u.w.askedLong(u)
 	u.anyNode(func(req uint64) eventloop.Event { return eventloop.QueryRequest{Req: req, ID: u.job.ID} }, func(r eventloop.Reply) {
-		switch r.Status {
-		case 200:
+		switch r.Code {
+		case eventloop.ReplyOK:
 			u.answeredAt = u.w.now
 			u.hear(r.Body.(wire.JobAnswer).State)
-		case 404:
+		case eventloop.ReplyNotFound:
 			if accepted {
 				u.w.breakRule("forgotten: %s gets 404", u.job.ID)
 			}
@@ -513,7 +513,7 @@
 
 func (u *user) cancel() {
 	u.anyNode(func(req uint64) eventloop.Event { return eventloop.CancelRequest{Req: req, ID: u.job.ID} }, func(r eventloop.Reply) {
-		if r.Status != 200 {
+		if r.Code != eventloop.ReplyOK {
 			u.w.after(time.Second, u.cancel)
 			return
 		}
--- a/internal/testkit/simtest/answers.go
+++ b/internal/testkit/simtest/answers.go
@@ -61,21 +61,21 @@
 func (u *user) judge(n *simNode, ev eventloop.Event, before tellings, asked time.Duration, r eventloop.Reply) {
 	w := u.w
 	older := func(than telling) {
-		w.breakRule("older answer: %s of %s gets %d %v from %s, asked at %.3f; %s said %s (%d done) at %.3f", kindOf(ev), u.job.ID,
-			r.Status, r.Body, n.name, asked.Seconds(), than.by, than.state, than.done, than.at.Seconds())
+		w.breakRule("older answer: %s of %s gets %s %v from %s, asked at %.3f; %s said %s (%d done) at %.3f", kindOf(ev), u.job.ID,
+			r.Code, r.Body, n.name, asked.Seconds(), than.by, than.state, than.done, than.at.Seconds())
 	}
 	known := before.known.state != ""
-	switch r.Status {
-	case 0, 503:
+	switch r.Code {
+	case eventloop.NoReply, eventloop.ReplyUnavailable:
 		return
-	case 200, 201:
-	case 400, 404, 422:
+	case eventloop.ReplyOK, eventloop.ReplyCreated:
+	case eventloop.ReplyInvalid, eventloop.ReplyNotFound, eventloop.ReplyUnprocessable:
 		if known {
 			older(before.known)
 		}
 		return
 	default:
-		w.breakRule("%s of %s gets %d from %s", kindOf(ev), u.job.ID, r.Status, n.name)
+		w.breakRule("%s of %s gets %s from %s", kindOf(ev), u.job.ID, r.Code, n.name)
 		return
 	}
 	a, ok := r.Body.(wire.JobAnswer)
@@ -84,11 +84,11 @@
 	over := a.State == wire.Done || a.State == wire.Cancelled
 	told := telling{a.State, a.Done, n.name, w.now}
 	switch {
-	case !ok || a.ID != u.job.ID, r.Status == 201 && !submitted, cancelled && !over:
-		w.breakRule("%s of %s gets %d %+v from %s", kindOf(ev), u.job.ID, r.Status, r.Body, n.name)
+	case !ok || a.ID != u.job.ID, r.Code == eventloop.ReplyCreated && !submitted, cancelled && !over:
+		w.breakRule("%s of %s gets %s %+v from %s", kindOf(ev), u.job.ID, r.Code, r.Body, n.name)
 	case before.over.state != "" && (a.State != before.over.state || a.Done != before.over.done):
 		older(before.over)
-	case known && r.Status == 201:
+	case known && r.Code == eventloop.ReplyCreated:
 		older(before.known)
 	case a.Done > len(u.doneTasks):
 		w.breakRule("%s tells of %d completed tasks of %s, which has %d", n.name, a.Done, u.job.ID, len(u.doneTasks))
@@ -142,8 +142,8 @@
 func (u *user) askOf(n *simNode, ev eventloop.Event) {
 	w := u.w
 	heard := u.judged(n, ev, func(r eventloop.Reply) {
-		w.night.looks[r.Status]++
-		if a, ok := r.Body.(wire.JobAnswer); ok && r.Status < 300 {
+		w.night.looks[r.Code]++
+		if a, ok := r.Body.(wire.JobAnswer); ok && r.Code.Success() {
 			u.hear(a.State)
 		}
 	})
@@ -175,7 +175,7 @@
 func (u *user) lookClosely(m moment, cancels bool) {
 	w := u.w
 	if w.night.looks == nil {
-		w.night.looks, w.night.looked = map[int]int{}, map[moment]int{}
+		w.night.looks, w.night.looked = map[eventloop.ReplyCode]int{}, map[moment]int{}
 	}
 	w.night.looked[m]++
 	rounds, spread := 3+w.rng.IntN(8), 5*time.Millisecond+time.Duration(w.rng.IntN(45))*time.Millisecond
--- a/internal/testkit/simtest/answers_model_test.go
+++ b/internal/testkit/simtest/answers_model_test.go
@@ -235,11 +235,11 @@
 
 // hear holds an answer against what the user was told before the question.
 func (a *answers) hear(q *question, r eventloop.Reply) {
-	age, state := 0, fmt.Sprint(r.Status)
-	switch r.Status {
-	case 200, 201:
+	age, state := 0, string(r.Code)
+	switch r.Code {
+	case eventloop.ReplyOK, eventloop.ReplyCreated:
 		age, state = 1, r.Body.(wire.JobAnswer).State
-	case 404, 400, 422:
+	case eventloop.ReplyNotFound, eventloop.ReplyInvalid, eventloop.ReplyUnprocessable:
 	default:
 		return // says nothing
 	}
--- a/internal/testkit/simtest/answers_test.go
+++ b/internal/testkit/simtest/answers_test.go
@@ -129,7 +129,7 @@
 			if left := w.Unfinished(); len(left) > 0 {
 				t.Errorf("not over long after the troubles: %v", left)
 			}
-			if beside.do == nil && w.night.looks[200] == 0 {
+			if beside.do == nil && w.night.looks[eventloop.ReplyOK] == 0 {
 				t.Error("no close look was answered")
 			}
 			t.Logf("%d starts, %d completions, close looks after %v, by status %v, answers lost %v", w.Starts, w.Dones, w.night.looked, w.night.looks, w.night.lost)
@@ -271,7 +271,7 @@
 					if u.running > 0 {
 						want = wire.Running
 					}
-					if r.Status == 200 && (a.State != want || a.Done != len(u.doneTasks)) {
+					if r.Code == eventloop.ReplyOK && (a.State != want || a.Done != len(u.doneTasks)) {
 						t.Errorf("%s: %s says %+v, of %s %d tasks run and %d are completed", name, n.name, a, u.job.ID, u.running, len(u.doneTasks))
 					}
 				})
@@ -296,7 +296,7 @@
 		w.Run(3 * time.Second) // no call of it is under way
 		w.night.answersSlow = map[string]time.Duration{asked.name: 1500 * time.Millisecond}
 		w.night.watchLag = map[string]time.Duration{asked.name: 30 * time.Second}
-		w.night.looks = map[int]int{}
+		w.night.looks = map[eventloop.ReplyCode]int{}
 		for i := range 100 {
 			w.after(time.Duration(i)*20*time.Millisecond, func() { u.askOf(asked, eventloop.QueryRequest{ID: u.job.ID}) })
 		}
@@ -305,7 +305,7 @@
 		for _, x := range w.Broken() {
 			t.Errorf("cancelled after %v: %s", wait, x)
 		}
-		if u.told != wire.Cancelled || w.night.looks[200] == 0 {
+		if u.told != wire.Cancelled || w.night.looks[eventloop.ReplyOK] == 0 {
 			t.Errorf("cancelled after %v: told %q, answers by status %v", wait, u.told, w.night.looks)
 		}
 	}
@@ -314,9 +314,9 @@
 // TestAnswersCheckerCries plants answers that are older than what was told.
 func TestAnswersCheckerCries(t *testing.T) {
 	said := func(state string, done int) eventloop.Reply {
-		return eventloop.Reply{Status: 200, Body: wire.JobAnswer{ID: "wk-000001", State: state, Done: done}}
+		return eventloop.Reply{Code: eventloop.ReplyOK, Body: wire.JobAnswer{ID: "wk-000001", State: state, Done: done}}
 	}
-	created := eventloop.Reply{Status: 201, Body: wire.JobAnswer{ID: "wk-000001", State: wire.Pending}}
+	created := eventloop.Reply{Code: eventloop.ReplyCreated, Body: wire.JobAnswer{ID: "wk-000001", State: wire.Pending}}
 	poll, submit, cancel := eventloop.QueryRequest{ID: "wk-000001"}, eventloop.SubmitRequest{Job: wire.Job{ID: "wk-000001"}}, eventloop.CancelRequest{ID: "wk-000001"}
 	for name, c := range map[string]struct {
 		told  eventloop.Reply
@@ -324,10 +324,10 @@
 		reply eventloop.Reply
 		cries bool
 	}{
-		"404 after 201":                       {created, poll, eventloop.Reply{Status: 404}, true},
-		"404 to a cancellation after 200":     {said(wire.Running, 0), cancel, eventloop.Reply{Status: 404}, true},
-		"422 after 201":                       {created, submit, eventloop.Reply{Status: 422}, true},
-		"400 after 201":                       {created, submit, eventloop.Reply{Status: 400}, true},
+		"404 after 201":                       {created, poll, eventloop.Reply{Code: eventloop.ReplyNotFound}, true},
+		"404 to a cancellation after 200":     {said(wire.Running, 0), cancel, eventloop.Reply{Code: eventloop.ReplyNotFound}, true},
+		"422 after 201":                       {created, submit, eventloop.Reply{Code: eventloop.ReplyUnprocessable}, true},
+		"400 after 201":                       {created, submit, eventloop.Reply{Code: eventloop.ReplyInvalid}, true},
 		"201 after 201":                       {created, submit, created, true},
 		"201 after done":                      {said(wire.Done, 2), submit, created, true},
 		"pending after done":                  {said(wire.Done, 2), poll, said(wire.Pending, 0), true},
@@ -338,13 +338,13 @@
 		"another count after cancelled":       {said(wire.Cancelled, 1), poll, said(wire.Cancelled, 0), true},
 		"running, to a cancellation":          {created, cancel, said(wire.Running, 0), true},
 		"more completed tasks than there are": {created, poll, said(wire.Running, 3), true},
-		"409":                                 {created, submit, eventloop.Reply{Status: 409}, true},
-		"503 after done":                      {said(wire.Done, 2), poll, eventloop.Reply{Status: 503}, false},
+		"409":                                 {created, submit, eventloop.Reply{Code: eventloop.ReplyCode("conflict")}, true},
+		"503 after done":                      {said(wire.Done, 2), poll, eventloop.Reply{Code: eventloop.ReplyUnavailable}, false},
 		"no answer after done":                {said(wire.Done, 2), poll, eventloop.Reply{}, false},
 		"pending after running":               {said(wire.Running, 1), poll, said(wire.Pending, 1), false},
 		"fewer completed tasks":               {said(wire.Running, 1), poll, said(wire.Running, 0), true},
 		"done after done":                     {said(wire.Done, 2), cancel, said(wire.Done, 2), false},
-		"404 after 503":                       {eventloop.Reply{Status: 503}, poll, eventloop.Reply{Status: 404}, false},
+		"404 after 503":                       {eventloop.Reply{Code: eventloop.ReplyUnavailable}, poll, eventloop.Reply{Code: eventloop.ReplyNotFound}, false},
 	} {
 		for _, overtaken := range []bool{false, true} { // asked before the newer answer was read
 			w := newWorld(1, 0, config.Cluster{})
@@ -358,7 +358,7 @@
 				after = before
 			}
 			after(c.reply)
-			always := c.reply.Status == 409 || name == "running, to a cancellation" || name == "more completed tasks than there are"
+			always := c.reply.Code == eventloop.ReplyCode("conflict") || name == "running, to a cancellation" || name == "more completed tasks than there are"
 			if cries := len(w.Broken()) > 0; cries != (c.cries && (!overtaken || always)) {
 				t.Errorf("%s, overtaken: %v: %v", name, overtaken, w.Broken())
 			}
--- a/internal/testkit/simtest/drive.go
+++ b/internal/testkit/simtest/drive.go
@@ -13,7 +13,7 @@
 // processes. All calls come from the goroutine that drives the world.
 type Edge interface {
 	// Ask hands a request to a controller and posts its reply; a reply with
-	// status 0 says that there was no answer.
+	// NoReply says that there was no answer.
 	Ask(node string, ev eventloop.Event, then func(eventloop.Reply))
 	// Open gives a machine an address, and Close takes it away.
 	Open(machine string) (endpoint string)
@@ -110,11 +110,11 @@
 // List lists machines, some seconds late.
 func (d *Driven) List() eventloop.Completion { return d.cloud.list() }
 
-// Commands hands commands to a machine's worker; status 0: it is not there.
-func (d *Driven) Commands(machine string, c wire.Commands) (status int, r *wire.Heartbeat) {
+// Commands hands commands to a machine's worker; NoAnswer: it is not there.
+func (d *Driven) Commands(machine string, c wire.Commands) (outcome eventloop.Outcome, r *wire.Heartbeat) {
 	k := d.workers[machine]
 	if k == nil || k.gone || !k.up {
-		return 0, nil
+		return eventloop.NoAnswer, nil
 	}
 	k.expire()
 	return k.commands(c)
--- a/internal/testkit/simtest/duo_test.go
+++ b/internal/testkit/simtest/duo_test.go
@@ -208,7 +208,7 @@
 		if d.prompt && !n.lags && d.shown(i) == nil && n.watch != nil && n.now.Sub(n.since) >= n.watch.Hold {
 			id := n.watch.ID
 			n.watch = nil
-			d.back(i, n.life, eventloop.Completion{ID: id, FromStateService: true, Status: 200, Changes: wire.Changes{Revision: d.w.store.rev}}, "no change")
+			d.back(i, n.life, eventloop.Completion{ID: id, FromStateService: true, Outcome: eventloop.Succeeded, Changes: wire.Changes{Revision: d.w.store.rev}}, "no change")
 		}
 		d.watchAll()
 		d.settle()
@@ -223,7 +223,7 @@
 // back hands a completion to the process that waits for it.
 func (d *duo) back(i, life int, c eventloop.Completion, label ...any) {
 	if d.nodes[i].life == life {
-		d.hand(i, c, append(label, c.ID, c.Status)...)
+		d.hand(i, c, append(label, c.ID, c.Outcome)...)
 	}
 }
 
@@ -284,16 +284,16 @@
 		// One that takes long to boot is not returned as soon as it is idle.
 		slow := machineTypes[0]
 		slow.BootS = 900
-		answer(e.ID, eventloop.Completion{Status: 200, Types: wire.MachineTypes{Types: []wire.MachineType{slow}}})
+		answer(e.ID, eventloop.Completion{Outcome: eventloop.Succeeded, Types: wire.MachineTypes{Types: []wire.MachineType{slow}}})
 	case eventloop.CloudCreate:
-		answer(e.ID, eventloop.Completion{Status: 503})
+		answer(e.ID, eventloop.Completion{Outcome: eventloop.Unavailable})
 	case eventloop.CloudDelete:
 		for _, m := range d.machines {
 			if slices.Contains(e.Names, m.name) {
 				m.tasks, m.gone = nil, true
 			}
 		}
-		answer(e.ID, eventloop.Completion{Status: 200}, "released")
+		answer(e.ID, eventloop.Completion{Outcome: eventloop.Succeeded}, "released")
 	case eventloop.CloudList:
 		var l wire.MachineList
 		for _, m := range d.machines {
@@ -301,7 +301,7 @@
 				l.Machines = append(l.Machines, wire.Machine{Name: m.name, Endpoint: m.endpoint, Type: "s4", Zone: "x", State: wire.MachineRunning, AgeS: 100})
 			}
 		}
-		answer(e.ID, eventloop.Completion{Status: 200, Machines: l}, "list", len(l.Machines))
+		answer(e.ID, eventloop.Completion{Outcome: eventloop.Succeeded, Machines: l}, "list", len(l.Machines))
 	case eventloop.WorkerCommands:
 		if d.direct != nil {
 			d.direct(i, &e)
@@ -373,7 +373,7 @@
 	if n.watch == nil || n.watch.After >= d.w.store.rev {
 		return nil
 	}
-	c := &eventloop.Completion{ID: n.watch.ID, FromStateService: true, Status: 200, Changes: wire.Changes{Revision: d.w.store.rev}}
+	c := &eventloop.Completion{ID: n.watch.ID, FromStateService: true, Outcome: eventloop.Succeeded, Changes: wire.Changes{Revision: d.w.store.rev}}
 	for _, e := range d.w.store.log {
 		if e.Version > n.watch.After {
 			c.Changes.Log = append(c.Changes.Log, e.Change)
@@ -413,8 +413,8 @@
 
 // ---- the machines
 
-// command carries out direct commands of a controller and returns the answer; status
-// 0: there is nobody.
+// command carries out direct commands of a controller and returns the answer; outcome
+// NoAnswer: there is nobody.
 func (d *duo) command(by int, e *eventloop.WorkerCommands) eventloop.Completion {
 	c := eventloop.Completion{ID: e.ID}
 	k := slices.IndexFunc(d.machines, func(m *duoMachine) bool { return m.endpoint == e.Endpoint && !m.gone && !(m.apart && by == 0) })
@@ -423,9 +423,9 @@
 	}
 	m := d.machines[k]
 	m.expire()
-	c.Status = 409
+	c.Outcome = eventloop.Conflict
 	if e.Body.Token >= m.token && e.Body.AgentEpoch == m.session {
-		c.Status = 200
+		c.Outcome = eventloop.Succeeded
 		m.obey(by, e.Body.Token, e.Body.Commands)
 	}
 	r := m.body()
@@ -507,7 +507,7 @@
 			continue
 		}
 		d.ask(to, m.told, func(req uint64) eventloop.Event { return eventloop.HeartbeatRequest{Req: req, Heartbeat: m.body()} }, func(r eventloop.Reply) {
-			if r.Status != 200 || kept || m.session != session || d.clock-sent > 4*time.Second {
+			if r.Code != eventloop.ReplyOK || kept || m.session != session || d.clock-sent > 4*time.Second {
 				return
 			}
 			kept = true
--- a/internal/testkit/simtest/handover_model_test.go
+++ b/internal/testkit/simtest/handover_model_test.go
@@ -269,7 +269,7 @@
 			}
 			return eventloop.SubmitRequest{Req: req, Job: oneTask}
 		}, func(r eventloop.Reply) {
-			if r.Status == 200 && r.Body.(wire.JobAnswer).State == wire.Cancelled && h.cancelledAt == 0 {
+			if r.Code == eventloop.ReplyOK && r.Body.(wire.JobAnswer).State == wire.Cancelled && h.cancelledAt == 0 {
 				h.cancelledAt = h.clock
 			}
 		})
--- a/internal/testkit/simtest/leaders_meeting_test.go
+++ b/internal/testkit/simtest/leaders_meeting_test.go
@@ -92,7 +92,7 @@
 							})
 						})
 					}
-					w.night.looks = map[int]int{}
+					w.night.looks = map[eventloop.ReplyCode]int{}
 					w.night.calmAt = from + away + apart*time.Duration(len(w.nodes)) + 3*lease
 					w.Run(from + away)
 					over := 0
@@ -285,11 +285,11 @@
 					then := u.judged(n, ev, func(r eventloop.Reply) {
 						told = true
 						waits[kindOf(ev)] = append(waits[kindOf(ev)], w.now-asked)
-						if late := w.now - asked; late > within || (r.Status == 503 && r.RetryAfter == 0) {
-							w.breakRule("%s of %s, asked at %.3f, gets %d from %s after %v, Retry-After %d", kindOf(ev), u.job.ID,
-								asked.Seconds(), r.Status, n.name, late, r.RetryAfter)
+						if late := w.now - asked; late > within || (r.Code == eventloop.ReplyUnavailable && r.RetryAfter == 0) {
+							w.breakRule("%s of %s, asked at %.3f, gets %s from %s after %v, Retry-After %d", kindOf(ev), u.job.ID,
+								asked.Seconds(), r.Code, n.name, late, r.RetryAfter)
 						}
-						if a, ok := r.Body.(wire.JobAnswer); ok && r.Status < 300 {
+						if a, ok := r.Body.(wire.JobAnswer); ok && r.Code.Success() {
 							u.hear(a.State)
 						}
 					})
--- a/internal/testkit/simtest/lost_test.go
+++ b/internal/testkit/simtest/lost_test.go
@@ -164,7 +164,7 @@
 		var ask func()
 		ask = func() {
 			w.nodes[victim].ask(func(req uint64) eventloop.Event { return eventloop.QueryRequest{Req: req, ID: u.job.ID} }, func(r eventloop.Reply) {
-				if r.Status == 404 {
+				if r.Code == eventloop.ReplyNotFound {
 					w.breakRule("forgotten: %s gets 404", u.job.ID)
 				}
 			})
--- a/internal/testkit/simtest/model_test.go
+++ b/internal/testkit/simtest/model_test.go
@@ -99,7 +99,7 @@
 		if answered {
 			return
 		}
-		if answered = true; r.Status == 200 {
+		if answered = true; r.Code == eventloop.ReplyOK {
 			u.hear(r.Body.(wire.JobAnswer).State)
 		} else {
 			u.w.after(500*time.Millisecond, func() { u.cancelThrough(n) })
--- a/internal/testkit/simtest/night_test.go
+++ b/internal/testkit/simtest/night_test.go
@@ -264,13 +264,13 @@
 	if n.core.Healthy() {
 		t.Error("healthy, cut off from all but its workers")
 	}
-	var status int
+	var code eventloop.ReplyCode
 	asked, answered := w.now, time.Duration(0)
 	n.ask(func(req uint64) eventloop.Event { return eventloop.QueryRequest{Req: req, ID: "wk-000001"} },
-		func(r eventloop.Reply) { status, answered = r.Status, w.now-asked })
+		func(r eventloop.Reply) { code, answered = r.Code, w.now-asked })
 	w.Run(time.Second)
-	if status != 503 || answered > 100*time.Millisecond {
-		t.Errorf("a user gets %d after %v, want 503 at once", status, answered)
+	if code != eventloop.ReplyUnavailable || answered > 100*time.Millisecond {
+		t.Errorf("a user gets %s after %v, want unavailable at once", code, answered)
 	}
 	u := w.newUser(wire.Job{ID: "wk-000500", Class: "a", Team: "free", Shape: wire.Array, Priority: "urgent", Tasks: 2, CPUs: 1, MemoryGB: 2,
 		Image: "a", ImageGB: 1, Spot: true})
--- a/internal/testkit/simtest/odd_requests_test.go
+++ b/internal/testkit/simtest/odd_requests_test.go
@@ -14,7 +14,7 @@
 // is sure: by a status and, for 200, a state.
 type oddRequest struct {
 	ev     eventloop.Event
-	status int
+	code   eventloop.ReplyCode
 	state  string
 	always bool // who knows nothing is as sure of it
 }
@@ -43,44 +43,44 @@
 	}
 	const running, done, cancelled, nobodys = "wk-000001", "wk-000002", "wk-000003", "wk-000009"
 	list := map[string]oddRequest{
-		"submission without an id":           {submit(nobodys, map[string]any{"uid": nil}), 400, "", true},
-		"submission with an id of its own":   {submit(nobodys, map[string]any{"uid": "job-9"}), 400, "", true},
-		"submission of no map":               {eventloop.SubmitRequest{Err: fmt.Errorf("not a map with text keys")}, 400, "", true},
-		"cancellation of an impossible id":   {eventloop.CancelRequest{ID: "job-9"}, 404, "", true},
-		"question for an impossible id":      {eventloop.QueryRequest{ID: "wk-9"}, 404, "", true},
-		"cancellation of what nobody sent":   {eventloop.CancelRequest{ID: nobodys}, 404, "", false},
-		"question for what nobody sent":      {eventloop.QueryRequest{ID: nobodys}, 404, "", false},
-		"cancellation of what is done":       {eventloop.CancelRequest{ID: done}, 200, wire.Done, false},
-		"cancellation once more":             {eventloop.CancelRequest{ID: cancelled}, 200, wire.Cancelled, false},
-		"a count that is a text":             {submit(nobodys, map[string]any{"komadi": "2"}), 400, "", false},
-		"no tasks":                           {submit(nobodys, map[string]any{"komadi": 0}), 400, "", false},
-		"too many tasks":                     {submit(nobodys, map[string]any{"komadi": wire.MaxTasks + 1}), 400, "", false},
-		"a shape that does not exist":        {submit(nobodys, map[string]any{"oblik": "ring"}), 400, "", false},
-		"a team that does not exist":         {submit(nobodys, map[string]any{"vlasnik": "nobody"}), 422, "", false},
-		"no team":                            {submit(nobodys, map[string]any{"vlasnik": ""}), 422, "", false},
-		"more processors than any machine":   {submit(nobodys, map[string]any{"vcpus": 8.5}), 422, "", false},
-		"more memory than any machine":       {submit(nobodys, map[string]any{"memoryGb": 33.0}), 422, "", false},
-		"cards that no machine has":          {submit(nobodys, map[string]any{"cards": 1.0}), 422, "", false},
-		"more than the allowed type has":     {submit(nobodys, map[string]any{"kalupi": []string{"s4"}, "vcpus": 5.0}), 422, "", false},
-		"a type that does not exist":         {submit(nobodys, map[string]any{"kalupi": []string{"g8"}}), 422, "", false},
-		"a zone that does not exist":         {submit(nobodys, map[string]any{"dvoriste": "z"}), 422, "", false},
-		"a service over its team's limit":    {submit(nobodys, map[string]any{"oblik": "daemon", "komadi": 13}), 422, "", false},
-		"a gang over its team's limit":       {submit(nobodys, map[string]any{"oblik": "group", "komadi": 13}), 422, "", false},
-		"the id of a job that runs, as is":   {submit(running, nil), 200, wire.Running, false},
-		"the id of a job that runs, changed": {submit(running, map[string]any{"komadi": 7, "vlasnik": "blue"}), 200, wire.Running, false},
-		"the id of a job that runs, 422":     {submit(running, map[string]any{"vlasnik": "nobody"}), 200, wire.Running, false},
-		"the id of a job that runs, 400":     {submit(running, map[string]any{"komadi": 0}), 200, wire.Running, false},
-		"the id of a job that is done":       {submit(done, map[string]any{"komadi": 7}), 200, wire.Done, false},
-		"the id of a done job, 422":          {submit(done, map[string]any{"vcpus": 99.0}), 200, wire.Done, false},
-		"the id of a done job, 400":          {submit(done, map[string]any{"posudba": "yes"}), 200, wire.Done, false},
-		"the id of a job that is cancelled":  {submit(cancelled, map[string]any{"komadi": 7}), 200, wire.Cancelled, false},
-		"the id of a cancelled job, 400":     {submit(cancelled, map[string]any{"otisak": 5}), 200, wire.Cancelled, false},
-		"the id of a cancelled job, 422":     {submit(cancelled, map[string]any{"dvoriste": "z"}), 200, wire.Cancelled, false},
+		"submission without an id":           {submit(nobodys, map[string]any{"uid": nil}), eventloop.ReplyInvalid, "", true},
+		"submission with an id of its own":   {submit(nobodys, map[string]any{"uid": "job-9"}), eventloop.ReplyInvalid, "", true},
+		"submission of no map":               {eventloop.SubmitRequest{Err: fmt.Errorf("not a map with text keys")}, eventloop.ReplyInvalid, "", true},
+		"cancellation of an impossible id":   {eventloop.CancelRequest{ID: "job-9"}, eventloop.ReplyNotFound, "", true},
+		"question for an impossible id":      {eventloop.QueryRequest{ID: "wk-9"}, eventloop.ReplyNotFound, "", true},
+		"cancellation of what nobody sent":   {eventloop.CancelRequest{ID: nobodys}, eventloop.ReplyNotFound, "", false},
+		"question for what nobody sent":      {eventloop.QueryRequest{ID: nobodys}, eventloop.ReplyNotFound, "", false},
+		"cancellation of what is done":       {eventloop.CancelRequest{ID: done}, eventloop.ReplyOK, wire.Done, false},
+		"cancellation once more":             {eventloop.CancelRequest{ID: cancelled}, eventloop.ReplyOK, wire.Cancelled, false},
+		"a count that is a text":             {submit(nobodys, map[string]any{"komadi": "2"}), eventloop.ReplyInvalid, "", false},
+		"no tasks":                           {submit(nobodys, map[string]any{"komadi": 0}), eventloop.ReplyInvalid, "", false},
+		"too many tasks":                     {submit(nobodys, map[string]any{"komadi": wire.MaxTasks + 1}), eventloop.ReplyInvalid, "", false},
+		"a shape that does not exist":        {submit(nobodys, map[string]any{"oblik": "ring"}), eventloop.ReplyInvalid, "", false},
+		"a team that does not exist":         {submit(nobodys, map[string]any{"vlasnik": "nobody"}), eventloop.ReplyUnprocessable, "", false},
+		"no team":                            {submit(nobodys, map[string]any{"vlasnik": ""}), eventloop.ReplyUnprocessable, "", false},
+		"more processors than any machine":   {submit(nobodys, map[string]any{"vcpus": 8.5}), eventloop.ReplyUnprocessable, "", false},
+		"more memory than any machine":       {submit(nobodys, map[string]any{"memoryGb": 33.0}), eventloop.ReplyUnprocessable, "", false},
+		"cards that no machine has":          {submit(nobodys, map[string]any{"cards": 1.0}), eventloop.ReplyUnprocessable, "", false},
+		"more than the allowed type has":     {submit(nobodys, map[string]any{"kalupi": []string{"s4"}, "vcpus": 5.0}), eventloop.ReplyUnprocessable, "", false},
+		"a type that does not exist":         {submit(nobodys, map[string]any{"kalupi": []string{"g8"}}), eventloop.ReplyUnprocessable, "", false},
+		"a zone that does not exist":         {submit(nobodys, map[string]any{"dvoriste": "z"}), eventloop.ReplyUnprocessable, "", false},
+		"a service over its team's limit":    {submit(nobodys, map[string]any{"oblik": "daemon", "komadi": 13}), eventloop.ReplyUnprocessable, "", false},
+		"a gang over its team's limit":       {submit(nobodys, map[string]any{"oblik": "group", "komadi": 13}), eventloop.ReplyUnprocessable, "", false},
+		"the id of a job that runs, as is":   {submit(running, nil), eventloop.ReplyOK, wire.Running, false},
+		"the id of a job that runs, changed": {submit(running, map[string]any{"komadi": 7, "vlasnik": "blue"}), eventloop.ReplyOK, wire.Running, false},
+		"the id of a job that runs, 422":     {submit(running, map[string]any{"vlasnik": "nobody"}), eventloop.ReplyOK, wire.Running, false},
+		"the id of a job that runs, 400":     {submit(running, map[string]any{"komadi": 0}), eventloop.ReplyOK, wire.Running, false},
+		"the id of a job that is done":       {submit(done, map[string]any{"komadi": 7}), eventloop.ReplyOK, wire.Done, false},
+		"the id of a done job, 422":          {submit(done, map[string]any{"vcpus": 99.0}), eventloop.ReplyOK, wire.Done, false},
+		"the id of a done job, 400":          {submit(done, map[string]any{"posudba": "yes"}), eventloop.ReplyOK, wire.Done, false},
+		"the id of a job that is cancelled":  {submit(cancelled, map[string]any{"komadi": 7}), eventloop.ReplyOK, wire.Cancelled, false},
+		"the id of a cancelled job, 400":     {submit(cancelled, map[string]any{"otisak": 5}), eventloop.ReplyOK, wire.Cancelled, false},
+		"the id of a cancelled job, 422":     {submit(cancelled, map[string]any{"dvoriste": "z"}), eventloop.ReplyOK, wire.Cancelled, false},
 	}
 	for _, field := range []string{"vrstaPosla", "vlasnik", "oblik", "hitnost", "komadi", "vcpus", "cards", "memoryGb", "otisak", "pullGb",
 		"samePlace", "scatter", "posudba", "procjenaS", "biljegS", "spremanjeS"} {
-		list["submission without "+field] = oddRequest{submit(nobodys, map[string]any{field: nil}), 400, "", false}
-		list["the id of a job that runs without "+field] = oddRequest{submit(running, map[string]any{field: nil}), 200, wire.Running, false}
+		list["submission without "+field] = oddRequest{submit(nobodys, map[string]any{field: nil}), eventloop.ReplyInvalid, "", false}
+		list["the id of a job that runs without "+field] = oddRequest{submit(running, map[string]any{field: nil}), eventloop.ReplyOK, wire.Running, false}
 	}
 	return list
 }
@@ -115,24 +115,24 @@
 			t.Fatalf("after %v: %d tasks run, told %q and %q", w.now, run.running, done.told, cancelled.told)
 		}
 		n, records := w.nodes[at], len(w.store.values)
-		answers := map[string]map[int]int{}
+		answers := map[string]map[eventloop.ReplyCode]int{}
 		// ask makes all requests. Who is sure has to give the right answer, all others
 		// that or 503, within so long: they come together, and a check takes a few.
 		ask := func(phase string, sure bool, within time.Duration) {
 			if answers[phase] == nil {
-				answers[phase] = map[int]int{}
+				answers[phase] = map[eventloop.ReplyCode]int{}
 			}
 			for _, name := range cluster.SortedKeys(list) {
 				x := list[name]
 				asked := w.now
 				n.ask(func(req uint64) eventloop.Event { return withReq(x.ev, req) }, func(r eventloop.Reply) {
-					answers[phase][r.Status]++
+					answers[phase][r.Code]++
 					a, _ := r.Body.(wire.JobAnswer)
-					right := r.Status == x.status && a.State == x.state
-					if !right && (r.Status != 503 || x.always || sure) {
-						t.Errorf("%s, %s, at %s: answered %d %v, want %d %s", phase, name, n.name, r.Status, r.Body, x.status, x.state)
+					right := r.Code == x.code && a.State == x.state
+					if !right && (r.Code != eventloop.ReplyUnavailable || x.always || sure) {
+						t.Errorf("%s, %s, at %s: answered %s %v, want %s %s", phase, name, n.name, r.Code, r.Body, x.code, x.state)
 					}
-					if (r.Status == 503 && r.RetryAfter == 0) || w.now-asked > within {
+					if (r.Code == eventloop.ReplyUnavailable && r.RetryAfter == 0) || w.now-asked > within {
 						t.Errorf("%s, %s, at %s: answered after %v, to come back after %d s", phase, name, n.name, w.now-asked, r.RetryAfter)
 					}
 				})
--- a/internal/testkit/simtest/rollout_test.go
+++ b/internal/testkit/simtest/rollout_test.go
@@ -288,8 +288,8 @@
 			}
 		}
 		w.writes = 1000
-		if d := w.store.txn(wire.Txn{Then: []wire.Op{{Put: "fc/j/" + rec.ID, Value: rec}}}); d.Status != 200 {
-			t.Fatalf("put: %d", d.Status)
+		if d := w.store.txn(wire.Txn{Then: []wire.Op{{Put: "fc/j/" + rec.ID, Value: rec}}}); d.Outcome != eventloop.Succeeded {
+			t.Fatalf("put: %s", d.Outcome)
 		}
 	}
 	r.roll(0, newest)
@@ -357,19 +357,19 @@
 // reader lets package upgrade read the state service of a world.
 type reader struct{ w *World }
 
-func (r reader) Get(_ context.Context, key string) (int, wire.Pair, error) {
+func (r reader) Get(_ context.Context, key string) (eventloop.Outcome, wire.Pair, error) {
 	d := r.w.store.get(key)
-	return d.Status, d.Pair, nil
+	return d.Outcome, d.Pair, nil
 }
 
-func (r reader) Range(_ context.Context, prefix, after string, _ int) (int, wire.Page, error) {
+func (r reader) Range(_ context.Context, prefix, after string, _ int) (eventloop.Outcome, wire.Page, error) {
 	d := r.w.store.page(prefix, after)
-	return d.Status, d.Page, nil
+	return d.Outcome, d.Page, nil
 }
 
-func (r reader) Txn(_ context.Context, t wire.Txn, _ bool) (int, wire.TxnAnswer, error) {
+func (r reader) Txn(_ context.Context, t wire.Txn, _ bool) (eventloop.Outcome, wire.TxnAnswer, error) {
 	d := r.w.store.txn(t)
-	return d.Status, d.Txn, nil
+	return d.Outcome, d.Txn, nil
 }
 
 // TestOperatorsPicture follows a rollout by what the operator's commands read:
