--- a/internal/testkit/simtest/services.go
+++ b/internal/testkit/simtest/services.go
@@ -99,7 +99,7 @@
 func (s *store) guard(node string, f func() eventloop.Completion) func(func(eventloop.Completion)) {
 	return func(answer func(eventloop.Completion)) {
 		if s.down(node) {
-			answer(eventloop.Completion{Status: 503})
+			answer(eventloop.Completion{Outcome: eventloop.Unavailable})
 			return
 		}
 		answer(f())
@@ -114,13 +114,13 @@
 		}
 	}
 	if len(failed) > 0 {
-		return eventloop.Completion{Status: 409, Txn: wire.TxnAnswer{Failed: failed, Revision: s.rev}}
+		return eventloop.Completion{Outcome: eventloop.Conflict, Txn: wire.TxnAnswer{Failed: failed, Revision: s.rev}}
 	}
 	if s.w.now-s.w.filled >= time.Second {
 		s.w.filled, s.w.writes = s.w.now, s.w.cfg.State.WriteRPS
 	}
 	if s.w.writes -= float64(len(t.Then)); s.w.writes < 0 && len(t.Then) > 0 {
-		return eventloop.Completion{Status: 429}
+		return eventloop.Completion{Outcome: eventloop.Throttled}
 	}
 	if len(t.Then) > s.w.cfg.State.TxnOps || len(t.If) > 4*s.w.cfg.State.TxnOps {
 		s.w.breakRule("transaction too large: %d conditions, %d changes", len(t.If), len(t.Then))
@@ -152,15 +152,15 @@
 		}
 	}
 	s.wake()
-	return eventloop.Completion{Status: 200, Txn: wire.TxnAnswer{Revision: s.rev}}
+	return eventloop.Completion{Outcome: eventloop.Succeeded, Txn: wire.TxnAnswer{Revision: s.rev}}
 }
 
 func (s *store) get(key string) eventloop.Completion {
 	v, ok := s.values[key]
 	if !ok {
-		return eventloop.Completion{Status: 404}
+		return eventloop.Completion{Outcome: eventloop.NotFound}
 	}
-	return eventloop.Completion{Status: 200, Pair: wire.Pair{Key: key, Value: v.data, Version: v.version}}
+	return eventloop.Completion{Outcome: eventloop.Succeeded, Pair: wire.Pair{Key: key, Value: v.data, Version: v.version}}
 }
 
 func (s *store) page(prefix, after string) eventloop.Completion {
@@ -176,16 +176,16 @@
 		v := s.values[key]
 		p.Pairs = append(p.Pairs, wire.Pair{Key: key, Value: v.data, Version: v.version})
 	}
-	return eventloop.Completion{Status: 200, Page: p}
+	return eventloop.Completion{Outcome: eventloop.Succeeded, Page: p}
 }
 
 func (s *store) watch(node, prefix string, after uint64, until time.Duration, answer func(eventloop.Completion)) {
 	if s.down(node) {
-		answer(eventloop.Completion{Status: 503})
+		answer(eventloop.Completion{Outcome: eventloop.Unavailable})
 		return
 	}
 	if s.rev-min(after, s.rev) > 400 { // the real service keeps more
-		answer(eventloop.Completion{Status: 410})
+		answer(eventloop.Completion{Outcome: eventloop.Compacted})
 		return
 	}
 	s.waiters = append(s.waiters, &waiter{node, prefix, after, until, answer})
@@ -212,7 +212,7 @@
 			keep = append(keep, x)
 			continue
 		}
-		x.answer(eventloop.Completion{Status: 200, Changes: c})
+		x.answer(eventloop.Completion{Outcome: eventloop.Succeeded, Changes: c})
 	}
 	s.waiters = keep
 }
@@ -234,7 +234,7 @@
 
 func (c *simCloud) rent(r wire.InstanceRequest) eventloop.Completion {
 	if names, ok := c.answers[r.ID]; ok {
-		return eventloop.Completion{Status: 200, Names: names}
+		return eventloop.Completion{Outcome: eventloop.Succeeded, Names: names}
 	}
 	live := 0
 	for _, k := range c.w.workers {
@@ -244,7 +244,7 @@
 	}
 	n := min(r.Count, c.w.most-live)
 	if n <= 0 || c.w.rng.IntN(6) == 0 {
-		return eventloop.Completion{Status: 503}
+		return eventloop.Completion{Outcome: eventloop.Unavailable}
 	}
 	var names []string
 	for range n {
@@ -272,7 +272,7 @@
 		c.w.after(boot, k.begin)
 	}
 	c.answers[r.ID] = names
-	return eventloop.Completion{Status: 200, Names: names}
+	return eventloop.Completion{Outcome: eventloop.Succeeded, Names: names}
 }
 
 // list shows machines some seconds late.
@@ -295,7 +295,7 @@
 		l.Machines = append(l.Machines, wire.Machine{Name: name, Endpoint: k.endpoint, Type: k.kind, Zone: k.zone,
 			Spot: k.spot, State: state, AgeS: age.Seconds()})
 	}
-	return eventloop.Completion{Status: 200, Machines: l}
+	return eventloop.Completion{Outcome: eventloop.Succeeded, Machines: l}
 }
 
 // kill ends a machine with all that is on it.
--- a/internal/testkit/simtest/world.go
+++ b/internal/testkit/simtest/world.go
@@ -494,7 +494,7 @@
 					return
 				}
 				if !e.Until.IsZero() && !n.clock().Before(e.Until) {
-					e = eventloop.Reply{Req: e.Req, Status: 503}
+					e = eventloop.Reply{Req: e.Req, Code: eventloop.ReplyUnavailable}
 				}
 				if a, ok := e.Body.(wire.HeartbeatAnswer); ok {
 					w.seeStarts(a.Commands)
@@ -515,7 +515,7 @@
 	case eventloop.StateTxn:
 		call(e.ID, true, stateShort, func(answer func(eventloop.Completion)) {
 			if w.store.down(n.name) {
-				answer(eventloop.Completion{Status: 503})
+				answer(eventloop.Completion{Outcome: eventloop.Unavailable})
 			} else if by, late := w.night.lateBy(n.name, e.Txn); late {
 				w.after(by, func() { w.store.txn(e.Txn) })
 			} else if w.night.loses != nil && w.night.loses(n.name, e.Txn) {
@@ -537,12 +537,12 @@
 		})
 	case eventloop.CloudTypes:
 		call(e.ID, false, short, func(answer func(eventloop.Completion)) {
-			answer(eventloop.Completion{Status: 200, Types: wire.MachineTypes{Types: machineTypes}})
+			answer(eventloop.Completion{Outcome: eventloop.Succeeded, Types: wire.MachineTypes{Types: machineTypes}})
 		})
 	case eventloop.CloudCreate:
 		call(e.ID, false, short, func(answer func(eventloop.Completion)) {
 			if w.now < w.cloud.outage {
-				answer(eventloop.Completion{Status: 503})
+				answer(eventloop.Completion{Outcome: eventloop.Unavailable})
 				return
 			}
 			if w.rng.IntN(30) == 0 {
@@ -554,7 +554,7 @@
 	case eventloop.CloudDelete:
 		call(e.ID, false, short, func(answer func(eventloop.Completion)) {
 			if w.now < w.cloud.outage {
-				answer(eventloop.Completion{Status: 503})
+				answer(eventloop.Completion{Outcome: eventloop.Unavailable})
 				return
 			}
 			w.seeReturned(e.Names)
@@ -562,19 +562,19 @@
 				w.kill(name)
 				delete(w.workers, name)
 			}
-			answer(eventloop.Completion{Status: 200})
+			answer(eventloop.Completion{Outcome: eventloop.Succeeded})
 		})
 	case eventloop.CloudList:
 		call(e.ID, false, short, func(answer func(eventloop.Completion)) {
 			if w.now < w.cloud.outage {
-				answer(eventloop.Completion{Status: 503})
+				answer(eventloop.Completion{Outcome: eventloop.Unavailable})
 				return
 			}
 			answer(w.cloud.list())
 		})
 	case eventloop.WorkerCommands:
 		if !n.clock().Before(e.Until) {
-			w.after(0, func() { n.back(life, eventloop.Completion{ID: e.ID, Status: -1}) })
+			w.after(0, func() { n.back(life, eventloop.Completion{ID: e.ID, Outcome: eventloop.NotSent}) })
 			return
 		}
 		w.seeStarts(e.Body.Commands)
@@ -595,8 +595,8 @@
 				return
 			}
 			k.whenAwake(func() {
-				status, r := k.commands(e.Body)
-				w.send(name, n.name, func() { finish(eventloop.Completion{Status: status, Heartbeat: r}) })
+				outcome, r := k.commands(e.Body)
+				w.send(name, n.name, func() { finish(eventloop.Completion{Outcome: outcome, Heartbeat: r}) })
 			})
 		})
 	}
--- a/internal/testkit/simtest/world_test.go
+++ b/internal/testkit/simtest/world_test.go
@@ -306,18 +306,18 @@
 func TestUnknownJob(t *testing.T) {
 	w := New(1)
 	w.Run(5 * time.Second)
-	ask := func() (status int) {
+	ask := func() (code eventloop.ReplyCode) {
 		w.nodes[0].ask(func(req uint64) eventloop.Event { return eventloop.QueryRequest{Req: req, ID: "wk-999999"} },
-			func(r eventloop.Reply) { status = r.Status })
+			func(r eventloop.Reply) { code = r.Code })
 		w.Run(3 * time.Second)
-		return status
+		return code
 	}
-	if got := ask(); got != 404 {
-		t.Errorf("unknown job: %d, want 404", got)
+	if got := ask(); got != eventloop.ReplyNotFound {
+		t.Errorf("unknown job: %s, want not found", got)
 	}
 	w.Outage(time.Minute, "")
-	if got := ask(); got != 503 {
-		t.Errorf("unknown job during an outage: %d, want 503", got)
+	if got := ask(); got != eventloop.ReplyUnavailable {
+		t.Errorf("unknown job during an outage: %s, want unavailable", got)
 	}
 }
 
@@ -334,8 +334,8 @@
 	told := ""
 	w.nodes[0].ask(func(req uint64) eventloop.Event { return eventloop.CancelRequest{Req: req, ID: u.job.ID} },
 		func(r eventloop.Reply) {
-			if r.Status != 200 {
-				t.Fatalf("cancel: %d", r.Status)
+			if r.Code != eventloop.ReplyOK {
+				t.Fatalf("cancel: %s", r.Code)
 			}
 			w.nodes[1].ask(func(req uint64) eventloop.Event { return eventloop.QueryRequest{Req: req, ID: u.job.ID} },
 				func(r eventloop.Reply) {
@@ -381,7 +381,7 @@
 		w.nodes[other].ask(func(req uint64) eventloop.Event { return eventloop.HeartbeatRequest{Req: req, Heartbeat: report} },
 			func(r eventloop.Reply) {
 				a, ok := r.Body.(wire.HeartbeatAnswer)
-				if !ok || r.Status != 200 {
+				if !ok || r.Code != eventloop.ReplyOK {
 					return
 				}
 				kept++
--- a/internal/upgrade/upgrade.go
+++ b/internal/upgrade/upgrade.go
@@ -15,18 +15,17 @@
 
 	"fawncove/internal/config"
 	"fawncove/internal/core/controller"
+	"fawncove/internal/core/eventloop"
 	"fawncove/internal/core/feature"
 	"fawncove/internal/core/leasevalue"
 	"fawncove/internal/wire"
 )
 
-// Store is what of the state service's client is needed here. A status of 200
-// says that the call was carried out, 404 that there is no such key, 409 that a
-// condition failed; any other that it may not have been.
+// Store is what is needed here of the state service's client.
 type Store interface {
-	Get(ctx context.Context, key string) (int, wire.Pair, error)
-	Range(ctx context.Context, prefix, after string, most int) (int, wire.Page, error)
-	Txn(ctx context.Context, t wire.Txn, control bool) (int, wire.TxnAnswer, error)
+	Get(ctx context.Context, key string) (eventloop.Outcome, wire.Pair, error)
+	Range(ctx context.Context, prefix, after string, most int) (eventloop.Outcome, wire.Page, error)
+	Txn(ctx context.Context, t wire.Txn, control bool) (eventloop.Outcome, wire.TxnAnswer, error)
 }
 
 // Controller is what is stored of one controller of the settings.
@@ -67,8 +66,8 @@
 
 // Errors of reading and asking.
 var (
-	// ErrAway says that the state service does not answer.
-	ErrAway = errors.New("the state service does not answer")
+	// ErrUnavailable says that the state service does not answer.
+	ErrUnavailable = errors.New("the state service does not answer")
 	// ErrEmpty says that no controller has stored a lease value yet.
 	ErrEmpty = errors.New("no controller has stored anything yet")
 	// ErrChanged says that somebody else has given the operator's word meanwhile.
@@ -120,12 +119,12 @@
 func readLease(ctx context.Context, store Store) (wire.LeaseRecord, error) {
 	var book leasevalue.PageTable
 	for try := 0; ; try++ {
-		status, pair, err := store.Get(ctx, leasevalue.Key)
+		outcome, pair, err := store.Get(ctx, leasevalue.Key)
 		switch {
-		case status == 404:
+		case outcome == eventloop.NotFound:
 			return wire.LeaseRecord{}, ErrEmpty
-		case status != 200:
-			return wire.LeaseRecord{}, away(status, err)
+		case outcome != eventloop.Succeeded:
+			return wire.LeaseRecord{}, unavailable(outcome, err)
 		}
 		rec, err := book.Read(pair.Value)
 		if !errors.Is(err, leasevalue.ErrPageMissing) || try == 3 {
@@ -177,9 +176,9 @@
 func each(ctx context.Context, store Store, prefix string, f func(wire.Pair) error) error {
 	after := ""
 	for {
-		status, page, err := store.Range(ctx, prefix, after, 500)
-		if status != 200 {
-			return away(status, err)
+		outcome, page, err := store.Range(ctx, prefix, after, 500)
+		if outcome != eventloop.Succeeded {
+			return unavailable(outcome, err)
 		}
 		for _, pair := range page.Pairs {
 			if err := f(pair); err != nil {
@@ -193,23 +192,23 @@
 	}
 }
 
-func away(status int, err error) error {
+func unavailable(outcome eventloop.Outcome, err error) error {
 	if err != nil {
-		return fmt.Errorf("%w: %w", ErrAway, err)
+		return fmt.Errorf("%w: %w", ErrUnavailable, err)
 	}
-	return fmt.Errorf("%w: status %d", ErrAway, status)
+	return fmt.Errorf("%w: %s", ErrUnavailable, outcome)
 }
 
 // Ask gives the operator's word, in place of the one that the picture shows.
 func (p *Picture) Ask(ctx context.Context, store Store, word feature.OperatorRequest, at time.Time) error {
 	rec := wire.OperatorRequest{Form: wire.ControllerForm, TargetLevel: uint32(word.TargetLevel), HoldLevel: word.Hold, UpdatedAtMs: at.UnixMilli()}
-	status, _, err := store.Txn(ctx, wire.Txn{If: []wire.Condition{{Key: controller.OperatorRequestKey, Version: p.word}},
+	outcome, _, err := store.Txn(ctx, wire.Txn{If: []wire.Condition{{Key: controller.OperatorRequestKey, Version: p.word}},
 		Then: []wire.Op{{Put: controller.OperatorRequestKey, Value: rec}}}, false)
-	switch status {
-	case 200:
+	switch outcome {
+	case eventloop.Succeeded:
 		return nil
-	case 409:
+	case eventloop.Conflict:
 		return ErrChanged
 	}
-	return away(status, err)
+	return unavailable(outcome, err)
 }
--- a/internal/wire/cloud.go
+++ b/internal/wire/cloud.go
@@ -26,7 +26,7 @@
 	MaxInstancesPerPage    = 500
 )
 
-// Rent asks for machines.
+// InstanceRequest asks for machines.
 type InstanceRequest struct {
 	ID    string `msgpack:"narudzba"`
 	Type  string `msgpack:"kalup"`
--- a/internal/wire/envelope.go
+++ b/internal/wire/envelope.go
@@ -32,7 +32,7 @@
 type Envelope struct {
 	Form       int    `msgpack:"f"`
 	Generation uint64 `msgpack:"g"`
-	// Born is the version under which the record was first stored, if it has
+	// FirstVersion is the version under which the record was first stored, if it has
 	// been rewritten since; 0: it has not. A record's age tells whether an
 	// earlier owner may have started its tasks, so a rewrite must not hide it.
 	FirstVersion uint64             `msgpack:"b,omitempty"`
--- a/internal/wire/state.go
+++ b/internal/wire/state.go
@@ -23,7 +23,7 @@
 	Revision uint64 `msgpack:"izmjena"`
 }
 
-// Cond demands a version of a key; 0 demands its absence.
+// Condition demands a version of a key; 0 demands its absence.
 type Condition struct {
 	Key     string `msgpack:"path"`
 	Version uint64 `msgpack:"inacica"`
@@ -52,7 +52,7 @@
 	return enc.Encode(o.Value)
 }
 
-// Missing tells whether a stored value is not there: earlier versions put empty maps
+// IsAbsent tells whether a stored value is not there: earlier versions put empty maps
 // without one.
 func IsAbsent(value msgpack.RawMessage) bool {
 	return len(value) == 0 || (len(value) == 1 && value[0] == msgpcode.Nil)
@@ -88,7 +88,7 @@
 type JobRecord struct {
 	Job   `msgpack:",inline"`
 	Owner string `msgpack:"owner"`
-	// Part is set when the jobs of its team are parted over controllers.
+	// Shard is set when the jobs of its team are parted over controllers.
 	Shard string `msgpack:"part,omitempty"`
 	// SubmittedAtMs is the time of day of the submission, in milliseconds.
 	SubmittedAtMs int64 `msgpack:"at_ms"`
@@ -141,12 +141,12 @@
 	NewestLevel uint32 `msgpack:"newest"`
 	SeenLevel   uint32 `msgpack:"seen"`  // level it has read
 	Ready       bool   `msgpack:"ready"` // serves users
-	// Unheard is how many machines of its block may run tasks that it does not
+	// UnreconciledMachines is how many machines of its block may run tasks that it does not
 	// know of.
 	UnreconciledMachines int `msgpack:"unheard"`
-	// Left is how many records of its homes are still in an earlier form.
+	// OutdatedRecords is how many records of its homes are still in an earlier form.
 	OutdatedRecords int `msgpack:"left"`
-	// Waits is what keeps the level from being raised, told by who leads.
+	// LevelBlockers is what keeps the level from being raised, told by who leads.
 	LevelBlockers []string `msgpack:"waits,omitempty"`
 	UpdatedAtMs   int64    `msgpack:"at_ms"`
 }
@@ -218,6 +218,6 @@
 	Renewal      uint64  `msgpack:"renewal"`
 	Machines     NameSet `msgpack:"machines"`
 	Unreconciled NameSet `msgpack:"old"`
-	// Recall names machines the leader wants back once they are empty.
+	// Draining names machines the leader wants back once they are empty.
 	Draining NameSet `msgpack:"recall,omitempty"`
 }
--- a/internal/wire/workers.go
+++ b/internal/wire/workers.go
@@ -1,6 +1,6 @@
 package wire
 
-// Report is a worker's report.
+// Heartbeat is a worker's report.
 type Heartbeat struct {
 	Machine    string       `msgpack:"stroj"`
 	Endpoint   string       `msgpack:"endpoint"`
