--- a/internal/artefacts/artefactapi/client.go
+++ b/internal/artefacts/artefactapi/client.go
@@ -39,6 +39,7 @@
 	err    error // what the code stands for, if there is one
 }
 
+// Error implements error.
 func (e *RefusedError) Error() string {
 	return fmt.Sprintf("artefact store: %s (%d)", e.Text, e.Status)
 }
--- a/internal/testkit/simtest/actors.go
+++ b/internal/testkit/simtest/actors.go
@@ -72,7 +72,6 @@
 	hang           time.Duration // does nothing until then
 	deaf           time.Duration // nothing reaches it until then
 	mute           time.Duration // no report of it reaches anybody until then
-	sleeping       []func()
 	sick           bool
 	known          map[string]bool
 	notice         time.Duration
