--- a/internal/core/quota/quota_test.go
+++ b/internal/core/quota/quota_test.go
@@ -133,12 +133,11 @@
 
 type holder struct {
 	Reservations
-	name    string
-	number  uint64
-	used    float64
-	seen    int // share in the value it has seen last
-	grant   uint64
-	renewed uint64
+	name   string
+	number uint64
+	used   float64
+	seen   int // share in the value it has seen last
+	grant  uint64
 }
 
 // TestSharesNeverExceedTheLimit: at every step what all holders may still
