--- a/internal/core/cluster/cluster.go
+++ b/internal/core/cluster/cluster.go
@@ -63,7 +63,7 @@
 	RaiseLevelAfter time.Duration
 }
 
-// RaiseAfter is the default of Params.RaiseAfter: long enough to see a new
+// DefaultRaiseLevelAfter is the default of Params.RaiseAfter: long enough to see a new
 // version fail, and to go back, before there is no way back.
 const DefaultRaiseLevelAfter = 10 * time.Minute
 
--- a/internal/core/feature/raise.go
+++ b/internal/core/feature/raise.go
@@ -67,7 +67,7 @@
 	confirmed time.Time           // since when all tell that they have read the level; zero: not all
 }
 
-// Steady is for how long all must have been able to follow, or have told that
+// SettleTime is for how long all must have been able to follow, or have told that
 // they read a level, before that counts, whoever asks. A cut holds frames back
 // and delivers them when it ends: a controller that died meanwhile then passes
 // for heard once more, for as long as a frame counts. Steady is longer.
--- a/internal/core/owner/workers.go
+++ b/internal/core/owner/workers.go
@@ -198,7 +198,7 @@
 	return until
 }
 
-// StartFresh is for how long what is known of cancellations is enough to start tasks by:
+// StartFreshness is for how long what is known of cancellations is enough to start tasks by:
 // a watch that shows no change, the next one after it, and a second.
 const StartFreshness = 2*cluster.WatchHold + time.Second
 
