--- a/internal/core/leader/fleet_test.go
+++ b/internal/core/leader/fleet_test.go
@@ -75,7 +75,7 @@
 			Blocks: map[string]wire.Block{"n0": {Grant: 3 << 16, Incarnation: 7}, "n1": {Grant: 3<<16 + 1, Incarnation: 9, Machines: []string{"host-000001"}}}})
 		start := l.loop.Now
 		for i, u := range []*peerpb.MachineUse{c.first, c.later} {
-			l.loop.Begin(start.Add(time.Duration(i)*(recallMost+2*time.Second) + time.Second))
+			l.loop.Begin(start.Add(time.Duration(i)*(maxDrainInUse+2*time.Second) + time.Second))
 			l.PublishStored(l.loop.Now)
 			r := &peerpb.Renewal{Node: "n1", Incarnation: 9, Number: uint64(1 + i)}
 			if u != nil {
@@ -84,11 +84,11 @@
 			}
 			l.HandleRenewal(r)
 			l.RunAutoscaler()
-			if i == 0 && !l.recalls["host-000001"] {
+			if i == 0 && !l.draining["host-000001"] {
 				t.Fatalf("%s: not recalled", c.name)
 			}
 		}
-		if got := l.recalls["host-000001"]; got != c.stays {
+		if got := l.draining["host-000001"]; got != c.stays {
 			t.Errorf("%s: recalled %v, want %v", c.name, got, c.stays)
 		}
 		rec, _ := l.Publish(&peerpb.Renewal{Node: "n0", Incarnation: 7, Number: 1})
--- a/internal/core/leader/leader.go
+++ b/internal/core/leader/leader.go
@@ -21,8 +21,8 @@
 	"fawncove/internal/wire"
 )
 
-// writeGap spaces the leader's writes of the lease value.
-const writeGap = 100 * time.Millisecond
+// minWriteInterval spaces the leader's writes of the lease value.
+const minWriteInterval = 100 * time.Millisecond
 
 // LocalController is the controller that leads. The leader asks it for what it hears of
 // the others by message, or sooner than its own next renewal.
@@ -45,37 +45,37 @@
 
 // Leader is the state of a leader.
 type Leader struct {
-	loop  *eventloop.Loop
-	view  *cluster.View
-	book  *leasevalue.PageTable
-	local LocalController
-	log   *slog.Logger
-	inc   uint64 // of this controller's process
+	loop        *eventloop.Loop
+	view        *cluster.View
+	pageTable   *leasevalue.PageTable
+	local       LocalController
+	log         *slog.Logger
+	incarnation uint64 // of this controller's process
 	// budgets are the limits of the settings that bound the fleet, but for the
 	// lease value, whose size is known.
-	budgets []config.Budget
-
-	term     uint64
-	since    time.Time
-	ended    bool
-	dirty    bool
-	again    bool // an answer has come in that should be acted on at once
-	lean     bool // the next write leaves out what can wait
-	wrote    time.Time
-	storedAt time.Time                  // when the last write that is stored was sent
-	renewals map[string]*peerpb.Renewal // newest of each controller
-	heardAt  map[string]time.Time       // when it came
+	fleetLimits []config.Budget
+
+	term            uint64
+	startedAt       time.Time
+	stopped         bool
+	publishPending  bool
+	publishNow      bool // an answer has come in that should be acted on at once
+	minimalWrite    bool // the next write leaves out what can wait
+	lastPublished   time.Time
+	lastStored      time.Time                  // when the last write that is stored was sent
+	renewals        map[string]*peerpb.Renewal // newest of each controller
+	renewalReceived map[string]time.Time       // when it came
 	// renewedAt is when a value with another renewal of that controller was first
 	// seen; its lease may last Lease from then.
-	renewedAt map[string]time.Time
-	gone      map[string]bool // released, confirmed
-	recalls   map[string]bool
-	idle      map[string]time.Time // when each was recalled that stood empty, see inUseAgain
-	moves     map[string]string    // recalled for another controller
-	fleet     fleet
-	raise     feature.LevelRaiser
-	raiseNext time.Time // no raise before then
-	waits     []string  // what keeps the level from being raised
+	leaseRenewed   map[string]time.Time
+	deleted        map[string]bool // released, confirmed
+	draining       map[string]bool
+	drainedIdle    map[string]time.Time // when each was recalled that stood empty, see inUseAgain
+	reassignTo     map[string]string    // recalled for another controller
+	autoscaler     autoscaler
+	levelRaiser    feature.LevelRaiser
+	nextLevelRaise time.Time // no raise before then
+	levelBlockers  []string  // what keeps the level from being raised
 }
 
 // New returns the leader of a term. seen is when the value that it replaces was
@@ -83,44 +83,44 @@
 // leases count as renewed then, however long the election took. Whoever lives
 // is given the time to renew with the new leader all the same.
 func New(loop *eventloop.Loop, view *cluster.View, book *leasevalue.PageTable, local LocalController, log *slog.Logger, incarnation, term uint64, seen time.Time) *Leader {
-	l := &Leader{loop: loop, view: view, book: book, local: local, log: log, inc: incarnation,
-		term: term, since: loop.Now, dirty: true,
-		renewals: map[string]*peerpb.Renewal{}, heardAt: map[string]time.Time{},
-		renewedAt: map[string]time.Time{}, gone: map[string]bool{}, recalls: map[string]bool{}, idle: map[string]time.Time{}, moves: map[string]string{}}
+	l := &Leader{loop: loop, view: view, pageTable: book, local: local, log: log, incarnation: incarnation,
+		term: term, startedAt: loop.Now, publishPending: true,
+		renewals: map[string]*peerpb.Renewal{}, renewalReceived: map[string]time.Time{},
+		leaseRenewed: map[string]time.Time{}, deleted: map[string]bool{}, draining: map[string]bool{}, drainedIdle: map[string]time.Time{}, reassignTo: map[string]string{}}
 	for _, b := range view.Settings.Budgets() {
 		if b.Field != "cluster.state.value_kb" {
-			l.budgets = append(l.budgets, b)
+			l.fleetLimits = append(l.fleetLimits, b)
 		}
 	}
-	l.fleet.init()
-	l.raise.Delay = view.Params.RaiseLevelAfter
-	if least := loop.Now.Add(l.rebuild() - cluster.RemoteDuration(view.Params.LeaseDuration)); seen.Before(least) {
+	l.autoscaler.init()
+	l.levelRaiser.Delay = view.Params.RaiseLevelAfter
+	if least := loop.Now.Add(l.rebuildPeriod() - cluster.RemoteDuration(view.Params.LeaseDuration)); seen.Before(least) {
 		seen = least
 	}
 	for node := range view.Lease.Blocks {
-		l.renewedAt[node] = seen
+		l.leaseRenewed[node] = seen
 	}
 	return l
 }
 
 // rebuild is how long a new leader waits for renewals of all controllers before
 // it acts on the lack of one.
-func (l *Leader) rebuild() time.Duration { return l.view.Params.PublishInterval + time.Second }
+func (l *Leader) rebuildPeriod() time.Duration { return l.view.Params.PublishInterval + time.Second }
 
 // acts tells whether this leader may still rent and return machines. Whoever
 // takes the lead over gives no block away before its lease has lapsed, counted
 // from the last value; until then its holders still stand for what they told.
 // Later a leader that is cut off, or has stood still, would return machines that
 // work for others by now: to it they are silent.
-func (l *Leader) acts() bool {
-	return l.loop.Now.Sub(l.storedAt) < cluster.LocalDuration(l.view.Params.LeaseDuration)
+func (l *Leader) leadConfirmed() bool {
+	return l.loop.Now.Sub(l.lastStored) < cluster.LocalDuration(l.view.Params.LeaseDuration)
 }
 
 // Term is the term that it leads.
 func (l *Leader) Term() uint64 { return l.term }
 
 // Stop drops the leader: answers that still come change nothing.
-func (l *Leader) Stop() { l.ended = true }
+func (l *Leader) Stop() { l.stopped = true }
 
 // HandleRenewal takes in another controller's renewal. It returns false for one that
 // is older than what is known.
@@ -135,36 +135,36 @@
 	if r.GetIncarnation() < b.Incarnation || (r.GetIncarnation() == b.Incarnation && r.GetNumber() < b.Renewal) {
 		return false // from before this controller led
 	}
-	l.renewals[node], l.heardAt[node] = r, l.loop.Now
+	l.renewals[node], l.renewalReceived[node] = r, l.loop.Now
 	if !ok || b.Incarnation != r.GetIncarnation() ||
 		r.GetResigned() || len(r.GetReleased())+len(r.GetSilentMachines())+len(r.GetKnownMachines())+len(r.GetHandovers()) > 0 {
-		l.dirty = true
+		l.publishPending = true
 	}
 	return true
 }
 
 // RequestPublish says that there is something to publish.
-func (l *Leader) RequestPublish() { l.dirty = true }
+func (l *Leader) RequestPublish() { l.publishPending = true }
 
 // PublishNow tells, once, that an answer has come in that should be acted on now.
 func (l *Leader) PublishNow() bool {
-	again := l.again
-	l.again = false
+	again := l.publishNow
+	l.publishNow = false
 	return again
 }
 
 // TakePublishDue tells whether a lease value is to be proposed, and takes it for done.
 func (l *Leader) TakePublishDue() bool {
-	since := l.loop.Now.Sub(l.wrote)
-	if since < l.view.Params.PublishInterval && (!l.dirty || since < writeGap) {
+	since := l.loop.Now.Sub(l.lastPublished)
+	if since < l.view.Params.PublishInterval && (!l.publishPending || since < minWriteInterval) {
 		return false
 	}
-	l.wrote, l.dirty = l.loop.Now, false
+	l.lastPublished, l.publishPending = l.loop.Now, false
 	return true
 }
 
 // PublishStored notes that a proposed value, sent at a moment, is stored.
-func (l *Leader) PublishStored(sent time.Time) { l.storedAt = sent }
+func (l *Leader) PublishStored(sent time.Time) { l.lastStored = sent }
 
 // LeaseApplied notes that the view has a newer value, where before it had these blocks.
 // The leases that it renews count from now, whoever wrote it and however it came to
@@ -173,7 +173,7 @@
 func (l *Leader) LeaseApplied(before map[string]wire.Block) {
 	for node, b := range l.view.Lease.Blocks {
 		if old := before[node]; b.Renewal != old.Renewal || b.Incarnation != old.Incarnation {
-			l.renewedAt[node] = l.loop.Now
+			l.leaseRenewed[node] = l.loop.Now
 		}
 	}
 }
@@ -181,33 +181,33 @@
 // ValueTooLarge notes that a proposed value could not be written in one transaction.
 // The same again would fail again, and with it every renewal: the next one
 // leaves out what can wait.
-func (l *Leader) ValueTooLarge() { l.lean, l.dirty = true, true }
+func (l *Leader) ValueTooLarge() { l.minimalWrite, l.publishPending = true, true }
 
 // MachineDeleted notes that the cloud has confirmed the end of a machine.
 func (l *Leader) MachineDeleted(name string) {
-	l.gone[name] = true
-	delete(l.fleet.leaving, name)
-	delete(l.fleet.lost, name)
-	if r := l.fleet.machines[name]; r != nil {
+	l.deleted[name] = true
+	delete(l.autoscaler.deleting, name)
+	delete(l.autoscaler.unreachable, name)
+	if r := l.autoscaler.instances[name]; r != nil {
 		// Whatever was refused before, there is room again.
-		delete(l.fleet.refused, r.offerKey)
-		delete(l.fleet.machines, name)
+		delete(l.autoscaler.noCapacityUntil, r.market)
+		delete(l.autoscaler.instances, name)
 	}
-	l.dirty = true
+	l.publishPending = true
 }
 
 // MachineInfo describes a machine as far as anybody has told, or returns nil.
 func (l *Leader) MachineInfo(name string) *peerpb.MachineInfo {
-	r := l.fleet.machines[name]
+	r := l.autoscaler.instances[name]
 	if r == nil {
 		return nil
 	}
-	return &peerpb.MachineInfo{Name: name, Endpoint: r.endpoint, Type: r.kind, Zone: r.zone, Spot: r.spot, AgentEpoch: r.session}
+	return &peerpb.MachineInfo{Name: name, Endpoint: r.endpoint, Type: r.machineType, Zone: r.zone, Spot: r.spot, AgentEpoch: r.agentEpoch}
 }
 
 // alive tells whether a controller renewed lately.
-func (l *Leader) alive(node string) bool {
-	at, ok := l.heardAt[node]
+func (l *Leader) isAlive(node string) bool {
+	at, ok := l.renewalReceived[node]
 	if l.renewals[node].GetResigned() {
 		return false
 	}
@@ -215,7 +215,7 @@
 }
 
 // unpack reads a set of machines from a renewal.
-func (l *Leader) unpack(text string) []string {
+func (l *Leader) unpackNames(text string) []string {
 	names, err := wire.UnpackNames(text)
 	if err != nil {
 		l.log.Error("names in a renewal", "err", err)
--- a/internal/core/leader/leader_test.go
+++ b/internal/core/leader/leader_test.go
@@ -41,7 +41,7 @@
 	loop := &eventloop.Loop{}
 	loop.Begin(time.Date(2026, 3, 1, 6, 0, 0, 0, time.UTC))
 	l := New(loop, view, new(leasevalue.PageTable), &local{}, slog.New(slog.NewTextHandler(io.Discard, nil)), 7, rec.Term, loop.Now)
-	l.since, l.fleet.list.whole = loop.Now.Add(-time.Minute), true
+	l.startedAt, l.autoscaler.inventory.complete = loop.Now.Add(-time.Minute), true
 	return l
 }
 
@@ -55,9 +55,9 @@
 		homes   int
 	}{{0.12, 2, 1}, {0.05, 2, 2}, {0.05, 6, 1}, {0, 0.1, 2}} {
 		l.view.Settings.Cluster.Limits.Cores, l.view.Settings.Cluster.Workers.ReportS = want.cores, want.reportS
-		l.renewals["n1"], l.heardAt["n1"] = &peerpb.Renewal{}, l.loop.Now
+		l.renewals["n1"], l.renewalReceived["n1"] = &peerpb.Renewal{}, l.loop.Now
 		rec := wire.LeaseRecord{Blocks: map[string]wire.Block{"n0": {}, "n1": {}}, Partitions: map[string]string{}}
-		l.settleHomes(&rec)
+		l.assignPartitions(&rec)
 		homes := map[string]bool{rec.Partitions["a"]: true, rec.Partitions["b"]: true}
 		if len(homes) != want.homes {
 			t.Errorf("%v cores, reports every %v s: %d homes, want %d", want.cores, want.reportS, len(homes), want.homes)
@@ -85,7 +85,7 @@
 		// 100 tasks of 9 s, to be worked off in 1.5 boot times of 6 s, need as
 		// many processors for that time.
 		waiting := []sched.Demand{{Need: sched.Resources{CPUs: 1}, Count: 100, RunS: 9, SlackS: c.slack, ProvisionAll: c.whole}}
-		if got := l.behind(waiting, 120)[0].Count; got != c.want {
+		if got := l.backlogForOnDemand(waiting, 120)[0].Count; got != c.want {
 			t.Errorf("%s: %d tasks want dear machines, want %d", c.name, got, c.want)
 		}
 	}
@@ -157,12 +157,12 @@
 		Blocks: map[string]wire.Block{"n0": {Grant: 3 << 16, Incarnation: 7}}})
 	var log countingHandler
 	l.log = slog.New(&log)
-	l.budgets = []config.Budget{{Name: "sockets", Field: "cluster.limits.sockets", Machines: 100}}
-	machines := l.fleet.machines
+	l.fleetLimits = []config.Budget{{Name: "sockets", Field: "cluster.limits.sockets", Machines: 100}}
+	machines := l.autoscaler.instances
 	fill := func(n int) {
 		clear(machines)
 		for i := range n {
-			machines[fmt.Sprintf("host-%06d", i)] = &rented{}
+			machines[fmt.Sprintf("host-%06d", i)] = &instance{}
 		}
 	}
 	for _, c := range []struct {
@@ -171,7 +171,7 @@
 		lines    int
 	}{{90, true, 0}, {100, false, 1}, {99, false, 1}, {104, false, 1}, {98, false, 1}, {96, true, 2}, {99, true, 2}, {100, false, 3}} {
 		fill(c.machines)
-		if got := l.roomForMore(); got != c.room || log.lines != c.lines {
+		if got := l.mayGrow(); got != c.room || log.lines != c.lines {
 			t.Errorf("%d machines of 100: room %v after %d lines, want %v after %d", c.machines, got, log.lines, c.room, c.lines)
 		}
 	}
@@ -218,7 +218,7 @@
 		Blocks: map[string]wire.Block{"n0": {Grant: 3 << 16, Incarnation: 7}, "n1": {Grant: 3<<16 + 1, Incarnation: 9}}})
 	start := x.loop.Now
 	l := New(x.loop, x.view, new(leasevalue.PageTable), &local{}, x.log, 7, 3, start.Add(-time.Minute))
-	for after, want := range map[time.Duration]bool{l.rebuild() - time.Second: true, l.rebuild() + time.Second: false} {
+	for after, want := range map[time.Duration]bool{l.rebuildPeriod() - time.Second: true, l.rebuildPeriod() + time.Second: false} {
 		l.loop.Begin(start.Add(after))
 		rec, _ := l.Publish(&peerpb.Renewal{Node: "n0", Incarnation: 7, Number: 1})
 		if _, held := rec.Blocks["n1"]; held != want {
@@ -231,11 +231,11 @@
 // one that hears nobody. It is returned within the stated bound, not before.
 func TestOwnerlessMachineIsReturned(t *testing.T) {
 	l := newLeader([]config.Team{{Name: "free"}}, wire.LeaseRecord{Term: 3, Leader: "n0", Incarnation: 7})
-	start, bound := l.loop.Now, l.ownerlessMost()
+	start, bound := l.loop.Now, l.maxUnleased()
 	for _, after := range []time.Duration{0, bound - time.Second, bound + time.Second} {
 		l.loop.Begin(start.Add(after))
-		l.listed(wire.Machine{Name: "host-000001", Type: "s4", Zone: "x", State: wire.MachineRunning, AgeS: 60})
-		if got, want := l.fleet.leaving["host-000001"], after > bound; got != want {
+		l.applyInventoryEntry(wire.Machine{Name: "host-000001", Type: "s4", Zone: "x", State: wire.MachineRunning, AgeS: 60})
+		if got, want := l.autoscaler.deleting["host-000001"], after > bound; got != want {
 			t.Errorf("%v after it was first listed: returned %v, want %v", after, got, want)
 		}
 	}
@@ -249,7 +249,7 @@
 func TestGaveCountsUnderItsGrant(t *testing.T) {
 	l := newLeader(nil, wire.LeaseRecord{Term: 3, Leader: "n0", Incarnation: 7, LastGrant: 3<<16 + 1,
 		Blocks: map[string]wire.Block{"n0": {Grant: 3 << 16, Incarnation: 7}, "n1": {Grant: 3<<16 + 1, Incarnation: 9, Machines: []string{"host-000001"}}}})
-	l.fleet.machines["host-000001"] = &rented{offerKey: offerKey{kind: "s4"}}
+	l.autoscaler.instances["host-000001"] = &instance{market: market{machineType: "s4"}}
 	version := l.view.LeaseVersion
 	publish := func(own *peerpb.Renewal) string {
 		own.Node, own.Incarnation, own.Number = "n0", 7, l.view.Lease.Blocks["n0"].Renewal+1
@@ -261,22 +261,22 @@
 		return l.view.HolderOf("host-000001")
 	}
 	l.HandleRenewal(&peerpb.Renewal{Node: "n1", Incarnation: 9, Number: 1, Grant: 3<<16 + 1, Released: wire.PackNames([]string{"host-000001"})})
-	l.recalls["host-000001"], l.moves["host-000001"] = true, "n0"
+	l.draining["host-000001"], l.reassignTo["host-000001"] = true, "n0"
 	if got := publish(&peerpb.Renewal{}); got != "n0" {
 		t.Fatalf("given back for n0, it is %q's", got)
 	}
-	l.moves["host-000001"] = "n1"
+	l.reassignTo["host-000001"] = "n1"
 	if got := publish(&peerpb.Renewal{Released: wire.PackNames([]string{"host-000001"})}); got != "n1" {
 		t.Fatalf("given back for n1, it is %q's", got)
 	}
-	delete(l.recalls, "host-000001")
-	delete(l.moves, "host-000001")
-	if got := publish(&peerpb.Renewal{}); got != "n1" || l.fleet.leaving["host-000001"] {
-		t.Errorf("by a renewal of before it is %q's, to be returned: %v", got, l.fleet.leaving["host-000001"])
+	delete(l.draining, "host-000001")
+	delete(l.reassignTo, "host-000001")
+	if got := publish(&peerpb.Renewal{}); got != "n1" || l.autoscaler.deleting["host-000001"] {
+		t.Errorf("by a renewal of before it is %q's, to be returned: %v", got, l.autoscaler.deleting["host-000001"])
 	}
 	grant := l.view.Lease.Blocks["n1"].Grant
 	l.HandleRenewal(&peerpb.Renewal{Node: "n1", Incarnation: 9, Number: 2, Grant: grant, Released: wire.PackNames([]string{"host-000001"})})
-	if got := publish(&peerpb.Renewal{}); got != "" || !l.fleet.leaving["host-000001"] {
-		t.Errorf("given back under its grant it is %q's, to be returned: %v", got, l.fleet.leaving["host-000001"])
+	if got := publish(&peerpb.Renewal{}); got != "" || !l.autoscaler.deleting["host-000001"] {
+		t.Errorf("given back under its grant it is %q's, to be returned: %v", got, l.autoscaler.deleting["host-000001"])
 	}
 }
--- a/internal/core/leader/list_test.go
+++ b/internal/core/leader/list_test.go
@@ -42,7 +42,7 @@
 // for gone: not what was rented while a round stood still either.
 func TestListIsReadInParts(t *testing.T) {
 	l := newLeader([]config.Team{{Name: "free"}}, wire.LeaseRecord{Term: 3, Leader: "n0", Incarnation: 7})
-	l.fleet.list.whole = false
+	l.autoscaler.inventory.complete = false
 	rng := rand.New(rand.NewPCG(1, 2))
 	start := l.loop.Now
 	c := &lister{born: map[int]time.Time{}, died: map[int]time.Time{}, lag: 8 * time.Second}
@@ -58,9 +58,9 @@
 			}
 			n := len(c.born)
 			c.born[n] = now
-			l.fleet.machines[fmt.Sprintf("host-%06d", n)] = &rented{offerKey: offerKey{"s4", "x", true}, rentedAt: now, listedAt: now}
+			l.autoscaler.instances[fmt.Sprintf("host-%06d", n)] = &instance{market: market{"s4", "x", true}, requested: now, lastListed: now}
 		}
-		l.readList()
+		l.scanInventory()
 		for _, e := range l.loop.Effects() {
 			e := e.(eventloop.CloudList)
 			c.calls++
@@ -71,17 +71,17 @@
 			}
 			l.loop.Complete(eventloop.Completion{ID: e.ID, Outcome: eventloop.Succeeded, Machines: c.page(e.After, now)})
 		}
-		for name := range l.fleet.leaving {
+		for name := range l.autoscaler.deleting {
 			var i int
 			if _, err := fmt.Sscanf(name, "host-%d", &i); err != nil || c.died[i].IsZero() {
 				t.Fatalf("%v: %s lives and is taken for gone", now.Sub(start), name)
 			}
 			l.MachineDeleted(name)
 		}
-		for _, r := range l.fleet.machines {
-			r.ownerless = time.Time{} // that they join no block is another test's
+		for _, r := range l.autoscaler.instances {
+			r.unleasedSince = time.Time{} // that they join no block is another test's
 		}
-		if now.Sub(start) == 20*time.Second && !l.fleet.list.whole {
+		if now.Sub(start) == 20*time.Second && !l.autoscaler.inventory.complete {
 			t.Error("20 s after the election the list is not read")
 		}
 	}
@@ -90,11 +90,11 @@
 	}
 	for i, at := range c.died {
 		// Two rounds of 21 pages, a third of them asked again, and the lag.
-		if r := l.fleet.machines[fmt.Sprintf("host-%06d", i)]; r != nil && at.Sub(start) < 3*time.Minute {
+		if r := l.autoscaler.instances[fmt.Sprintf("host-%06d", i)]; r != nil && at.Sub(start) < 3*time.Minute {
 			t.Errorf("host-%06d, gone after %v, is still taken to be there", i, at.Sub(start))
 		}
 	}
-	if n := len(l.fleet.machines); n < 9900 {
+	if n := len(l.autoscaler.instances); n < 9900 {
 		t.Errorf("%d machines are known of 10,000", n)
 	}
 }
--- a/internal/core/leader/publish.go
+++ b/internal/core/leader/publish.go
@@ -34,14 +34,14 @@
 
 // proposal is a lease value in the making.
 type proposal struct {
-	rec  wire.LeaseRecord
-	gave map[string]map[string]bool // machines given back, by controller
+	record   wire.LeaseRecord
+	released map[string]map[string]bool // machines given back, by controller
 	// A transaction takes so many changes only. What does not find room in
 	// this one is as true at the next, a moment later.
-	leave func(machine string) bool
-	enter func(node string) bool
+	mayRemove func(machine string) bool
+	mayAdd    func(node string) bool
 	// joined are the machines that come into blocks, by controller.
-	joined map[string]map[string]bool
+	added map[string]map[string]bool
 }
 
 // Publish proposes the next lease value: renewals, takeovers, homes, shares,
@@ -50,74 +50,74 @@
 // stored: only then has happened what it says.
 func (l *Leader) Publish(own *peerpb.Renewal) (rec wire.LeaseRecord, stored func()) {
 	l.renewals[l.view.Self] = own
-	p := &proposal{rec: l.view.Lease.Clone(), gave: map[string]map[string]bool{}, joined: map[string]map[string]bool{}}
-	p.rec.Sequence++
-	l.honour(&p.rec, l.view.Self, own)
-	GrantAnew(&p.rec, l.view.Self, l.inc)
-	l.renew(p)
-	stored = l.takeOver(&p.rec)
-	l.settleHomes(&p.rec)
-	l.settleForm(&p.rec)
-	l.raiseLevel(&p.rec)
-	l.raiseShares(&p.rec)
-	l.limit(p)
-	l.handOver(p, l.partWith(p))
-	l.welcome(p)
-	for node, names := range p.joined {
-		b := p.rec.Blocks[node]
+	p := &proposal{record: l.view.Lease.Clone(), released: map[string]map[string]bool{}, added: map[string]map[string]bool{}}
+	p.record.Sequence++
+	l.applyReservations(&p.record, l.view.Self, own)
+	GrantAnew(&p.record, l.view.Self, l.incarnation)
+	l.applyRenewals(p)
+	stored = l.takeOverLapsed(&p.record)
+	l.assignPartitions(&p.record)
+	l.chooseLeaseForm(&p.record)
+	l.raiseLevel(&p.record)
+	l.distributeShares(&p.record)
+	l.limitMembershipChanges(p)
+	l.reassignMachines(p, l.removeMachines(p))
+	l.admitMachines(p)
+	for node, names := range p.added {
+		b := p.record.Blocks[node]
 		b.Machines = append(slices.Clone(b.Machines), cluster.SortedKeys(names)...)
 		slices.Sort(b.Machines)
-		p.rec.Blocks[node] = b
+		p.record.Blocks[node] = b
 	}
-	p.rec.Waiting = map[string]int{}
+	p.record.Waiting = map[string]int{}
 	for _, r := range l.renewals {
 		for kind, n := range r.GetWaiting() {
-			p.rec.Waiting[kind] += int(n)
+			p.record.Waiting[kind] += int(n)
 		}
 	}
-	l.lean = false
-	return p.rec, stored
+	l.minimalWrite = false
+	return p.record, stored
 }
 
 // renew takes the controllers' renewals into the value.
-func (l *Leader) renew(p *proposal) {
+func (l *Leader) applyRenewals(p *proposal) {
 	for _, node := range cluster.SortedKeys(l.renewals) {
 		r := l.renewals[node]
 		if node != l.view.Self && !r.GetResigned() {
-			if old, ok := p.rec.Blocks[node]; !ok || old.Incarnation != r.GetIncarnation() {
+			if old, ok := p.record.Blocks[node]; !ok || old.Incarnation != r.GetIncarnation() {
 				// A controller whose lease lapsed and that is back begins
 				// anew; by its old date it would lapse again at once.
-				l.renewedAt[node] = l.loop.Now
+				l.leaseRenewed[node] = l.loop.Now
 			}
-			GrantAnew(&p.rec, node, r.GetIncarnation())
-			b := p.rec.Blocks[node]
+			GrantAnew(&p.record, node, r.GetIncarnation())
+			b := p.record.Blocks[node]
 			if r.GetNumber() > b.Renewal {
-				l.honour(&p.rec, node, r)
+				l.applyReservations(&p.record, node, r)
 			}
 			b.Renewal = r.GetNumber()
-			p.rec.Blocks[node] = b
+			p.record.Blocks[node] = b
 		}
-		p.gave[node] = map[string]bool{}
+		p.released[node] = map[string]bool{}
 		// What it gave back under an earlier grant it may have again, with tasks.
-		if r.GetGrant() != p.rec.Blocks[node].Grant {
+		if r.GetGrant() != p.record.Blocks[node].Grant {
 			continue
 		}
-		for _, name := range l.unpack(r.GetReleased()) {
-			p.gave[node][name] = true
+		for _, name := range l.unpackNames(r.GetReleased()) {
+			p.released[node][name] = true
 		}
 	}
 }
 
 // takeOver gives blocks whose leases have lapsed to one successor, machines and
 // homes together, since tasks are only ever on their owner's machines.
-func (l *Leader) takeOver(rec *wire.LeaseRecord) (stored func()) {
+func (l *Leader) takeOverLapsed(rec *wire.LeaseRecord) (stored func()) {
 	stored = func() {}
 	for _, node := range cluster.SortedKeys(rec.Blocks) {
 		dead := rec.Blocks[node]
 		// Who resigned did so as a later incarnation than the block was
 		// granted to, so nothing has to lapse.
 		resigned := l.renewals[node].GetResigned() && l.renewals[node].GetIncarnation() > dead.Incarnation
-		if node == l.view.Self || (!resigned && l.loop.Now.Sub(l.renewedAt[node]) <= cluster.RemoteDuration(l.view.Params.LeaseDuration)) {
+		if node == l.view.Self || (!resigned && l.loop.Now.Sub(l.leaseRenewed[node]) <= cluster.RemoteDuration(l.view.Params.LeaseDuration)) {
 			continue
 		}
 		delete(rec.Blocks, node)
@@ -130,9 +130,9 @@
 		slices.Sort(b.Unreconciled)
 		b.Grant = nextGrant(rec)
 		rec.Blocks[to] = b
-		inherit(rec, node, to)
-		for team, home := range rec.Partitions {
-			if home == node {
+		transferShares(rec, node, to)
+		for team, holder := range rec.Partitions {
+			if holder == node {
 				rec.Partitions[team] = to
 			}
 		}
@@ -148,113 +148,113 @@
 }
 
 // limit sets how many machines may change blocks with this value.
-func (l *Leader) limit(p *proposal) {
-	p.leave, p.enter = func(string) bool { return true }, func(string) bool { return true }
-	if p.rec.Form < 2 {
+func (l *Leader) limitMembershipChanges(p *proposal) {
+	p.mayRemove, p.mayAdd = func(string) bool { return true }, func(string) bool { return true }
+	if p.record.Form < 2 {
 		return
 	}
-	budget := l.book.WriteBudget(l.view.Settings.ValueLimits())
-	if l.lean {
+	budget := l.pageTable.WriteBudget(l.view.Settings.ValueLimits())
+	if l.minimalWrite {
 		budget.Exhaust()
 	}
 	put := func(yes bool) bool {
-		l.dirty = l.dirty || !yes
+		l.publishPending = l.publishPending || !yes
 		return yes
 	}
-	p.leave = func(name string) bool { return put(budget.RemoveMachine(name)) }
-	p.enter = func(node string) bool { return put(budget.AddMachine(node)) }
+	p.mayRemove = func(name string) bool { return put(budget.RemoveMachine(name)) }
+	p.mayAdd = func(node string) bool { return put(budget.AddMachine(node)) }
 }
 
 // settled tells whether a machine that was given back goes to another
 // controller.
-func (l *Leader) settled(p *proposal, name string) bool {
-	to := l.moves[name]
-	_, ok := p.rec.Blocks[to]
-	return ok && l.alive(to)
+func (l *Leader) hasNewHolder(p *proposal, name string) bool {
+	to := l.reassignTo[name]
+	_, ok := p.record.Blocks[to]
+	return ok && l.isAlive(to)
 }
 
 // partWith takes machines that are gone or given back out of their blocks, and
 // names those that are recalled. It returns what was given back.
-func (l *Leader) partWith(p *proposal) (free []string) {
-	recalls := map[string][]string{}
-	for i, n := range cluster.SortedKeys(l.recalls) {
-		if l.lean || p.rec.Form >= 2 && i >= leasevalue.MaxDraining(l.view.Settings.ValueLimits()) {
+func (l *Leader) removeMachines(p *proposal) (free []string) {
+	draining := map[string][]string{}
+	for i, name := range cluster.SortedKeys(l.draining) {
+		if l.minimalWrite || p.record.Form >= 2 && i >= leasevalue.MaxDraining(l.view.Settings.ValueLimits()) {
 			break // the others follow when these are back
 		}
-		recalls[l.view.HolderOf(n)] = append(recalls[l.view.HolderOf(n)], n)
+		draining[l.view.HolderOf(name)] = append(draining[l.view.HolderOf(name)], name)
 	}
-	for _, node := range cluster.SortedKeys(p.rec.Blocks) {
-		b, gave := p.rec.Blocks[node], p.gave[node]
+	for _, node := range cluster.SortedKeys(p.record.Blocks) {
+		block, released := p.record.Blocks[node], p.released[node]
 		keep := func(names []string) []string {
-			if !slices.ContainsFunc(names, func(n string) bool { return l.gone[n] || gave[n] }) {
+			if !slices.ContainsFunc(names, func(name string) bool { return l.deleted[name] || released[name] }) {
 				return names
 			}
 			var out []string
-			for _, n := range names {
+			for _, name := range names {
 				switch {
-				case (l.gone[n] || gave[n]) && !p.leave(n):
-					out = append(out, n)
-				case !l.gone[n] && gave[n] && l.settled(p, n) && !p.enter(l.moves[n]):
-					out = append(out, n)
-				case l.gone[n]:
-				case gave[n]:
-					free = append(free, n)
+				case (l.deleted[name] || released[name]) && !p.mayRemove(name):
+					out = append(out, name)
+				case !l.deleted[name] && released[name] && l.hasNewHolder(p, name) && !p.mayAdd(l.reassignTo[name]):
+					out = append(out, name)
+				case l.deleted[name]:
+				case released[name]:
+					free = append(free, name)
 				default:
-					out = append(out, n)
+					out = append(out, name)
 				}
 			}
 			return out
 		}
-		b.Machines, b.Unreconciled = keep(b.Machines), keep(b.Unreconciled)
-		b.Draining = recalls[node]
-		p.rec.Blocks[node] = b
+		block.Machines, block.Unreconciled = keep(block.Machines), keep(block.Unreconciled)
+		block.Draining = draining[node]
+		p.record.Blocks[node] = block
 	}
 	return free
 }
 
 // join lets a machine come into a controller's block.
-func (p *proposal) join(node, name string) {
-	if p.joined[node] == nil {
-		p.joined[node] = map[string]bool{}
+func (p *proposal) addMachine(node, name string) {
+	if p.added[node] == nil {
+		p.added[node] = map[string]bool{}
 	}
-	p.joined[node][name] = true
+	p.added[node][name] = true
 }
 
 // handOver gives what was given back to the controller it was recalled for,
 // under a new and higher grant, or back to the cloud.
-func (l *Leader) handOver(p *proposal, free []string) {
+func (l *Leader) reassignMachines(p *proposal, free []string) {
 	for _, n := range free {
-		if !l.settled(p, n) {
-			l.fleet.leaving[n] = true
+		if !l.hasNewHolder(p, n) {
+			l.autoscaler.deleting[n] = true
 			continue
 		}
-		to := l.moves[n]
-		if p.joined[to] == nil {
-			b := p.rec.Blocks[to]
-			b.Grant = nextGrant(&p.rec)
-			p.rec.Blocks[to] = b
+		to := l.reassignTo[n]
+		if p.added[to] == nil {
+			b := p.record.Blocks[to]
+			b.Grant = nextGrant(&p.record)
+			p.record.Blocks[to] = b
 		}
-		p.join(to, n)
+		p.addMachine(to, n)
 	}
 }
 
 // welcome lets machines that reported and are in no block join one.
-func (l *Leader) welcome(p *proposal) {
-	choose := l.joiner(&p.rec)
-	fresh := map[string]bool{}
+func (l *Leader) admitMachines(p *proposal) {
+	choose := l.newBlockChooser(&p.record)
+	admitted := map[string]bool{}
 	for _, node := range cluster.SortedKeys(l.renewals) {
-		for _, s := range l.renewals[node].GetKnownMachines() {
-			n := s.GetName()
-			if fresh[n] || l.view.HolderOf(n) != "" || l.gone[n] || l.fleet.leaving[n] {
+		for _, machine := range l.renewals[node].GetKnownMachines() {
+			name := machine.GetName()
+			if admitted[name] || l.view.HolderOf(name) != "" || l.deleted[name] || l.autoscaler.deleting[name] {
 				continue
 			}
-			fresh[n] = true
-			to := choose(s)
-			if !p.enter(to) {
+			admitted[name] = true
+			to := choose(machine)
+			if !p.mayAdd(to) {
 				continue
 			}
-			p.join(to, n)
-			l.fleet.seen(s, l.loop.Now)
+			p.addMachine(to, name)
+			l.autoscaler.recordInstance(machine, l.loop.Now)
 		}
 	}
 }
@@ -263,17 +263,17 @@
 func (l *Leader) successor(rec *wire.LeaseRecord, dead string) string {
 	best := l.view.Self
 	for _, node := range cluster.SortedKeys(rec.Blocks) {
-		if node == dead || !l.alive(node) {
+		if node == dead || !l.isAlive(node) {
 			continue
 		}
-		if load(rec, node) < load(rec, best) {
+		if machineCount(rec, node) < machineCount(rec, best) {
 			best = node
 		}
 	}
 	return best
 }
 
-func load(rec *wire.LeaseRecord, node string) int {
+func machineCount(rec *wire.LeaseRecord, node string) int {
 	b := rec.Blocks[node]
 	return len(b.Machines) + len(b.Unreconciled)
 }
@@ -282,45 +282,45 @@
 // of a controller with waiting work that would fill it, among those the one
 // with most work, waiting or running, for the processors it has, and then one
 // in the machine's zone.
-func (l *Leader) joiner(rec *wire.LeaseRecord) func(s *peerpb.MachineInfo) string {
-	busy, size, given := map[string]float64{}, map[string]float64{}, map[string]float64{}
-	waits := map[string][]sched.Demand{}
-	var live []string
+func (l *Leader) newBlockChooser(rec *wire.LeaseRecord) func(machine *peerpb.MachineInfo) string {
+	busyCPUs, blockCPUs, addedCPUs := map[string]float64{}, map[string]float64{}, map[string]float64{}
+	waiting := map[string][]sched.Demand{}
+	var alive []string
 	for _, node := range cluster.SortedKeys(rec.Blocks) {
-		if !l.alive(node) {
+		if !l.isAlive(node) {
 			continue
 		}
-		live = append(live, node)
-		busy[node] = l.renewals[node].GetBusyCpus()
-		waits[node] = demands(l.renewals[node])
-		for _, home := range rec.Partitions {
-			if home == node {
-				busy[node] += 0.01 // where work will come
+		alive = append(alive, node)
+		busyCPUs[node] = l.renewals[node].GetBusyCpus()
+		waiting[node] = decodeDemands(l.renewals[node])
+		for _, holder := range rec.Partitions {
+			if holder == node {
+				busyCPUs[node] += 0.01 // where work will come
 			}
 		}
 		b := rec.Blocks[node]
 		for _, names := range [][]string{b.Machines, b.Unreconciled} {
 			for _, n := range names {
-				size[node] += l.cpusOf(n)
+				blockCPUs[node] += l.instanceCPUs(n)
 			}
 		}
 	}
-	return func(s *peerpb.MachineInfo) string {
+	return func(machine *peerpb.MachineInfo) string {
 		best, bestFill, bestNeed := "", -1.0, -1.0
-		kind := l.view.MachineTypes[s.GetType()]
-		for _, node := range live {
-			fill := -given[node]
-			for i := range waits[node] {
-				if d := &waits[node][i]; d.Allows(s.GetType(), s.GetZone(), s.GetSpot()) && d.Need.Fits(cluster.MachineSize(kind)) {
+		machineType := l.view.MachineTypes[machine.GetType()]
+		for _, node := range alive {
+			fill := -addedCPUs[node]
+			for i := range waiting[node] {
+				if d := &waiting[node][i]; d.Allows(machine.GetType(), machine.GetZone(), machine.GetSpot()) && d.Need.Fits(cluster.MachineSize(machineType)) {
 					fill += float64(d.Count) * d.Need.CPUs
 				}
 			}
 			// Half full is as good as full: the load decides then.
-			if fill = max(0, fill); fill >= kind.CPUs/2 {
-				fill = kind.CPUs
+			if fill = max(0, fill); fill >= machineType.CPUs/2 {
+				fill = machineType.CPUs
 			}
-			need := busy[node] / (8 + size[node])
-			if l.view.ZoneOf(node) == s.GetZone() {
+			need := busyCPUs[node] / (8 + blockCPUs[node])
+			if l.view.ZoneOf(node) == machine.GetZone() {
 				need *= 1.01
 			}
 			if fill > bestFill || (fill == bestFill && need > bestNeed) {
@@ -330,27 +330,27 @@
 		if best == "" {
 			return l.view.Self
 		}
-		size[best] += max(1, kind.CPUs)
-		given[best] += kind.CPUs
+		blockCPUs[best] += max(1, machineType.CPUs)
+		addedCPUs[best] += machineType.CPUs
 		return best
 	}
 }
 
 // cpusOf is the size of a rented machine, as the leader knows it.
-func (l *Leader) cpusOf(name string) float64 {
-	if r := l.fleet.machines[name]; r != nil {
-		return l.view.MachineTypes[r.kind].CPUs
+func (l *Leader) instanceCPUs(name string) float64 {
+	if r := l.autoscaler.instances[name]; r != nil {
+		return l.view.MachineTypes[r.machineType].CPUs
 	}
 	return 0
 }
 
-// formPart is from which part of its size on the lease value is stored with
+// pagedValuePart is from which part of its size on the lease value is stored with
 // pages. Small fleets do without, which costs fewer changes.
-const formPart = 0.5
+const pagedValuePart = 0.5
 
 // mayPage tells whether the lease value can be stored with pages: whether all
 // controllers read that form. One that does not would be granted nothing.
-func (l *Leader) mayPage() bool {
+func (l *Leader) canStorePages() bool {
 	if l.view.Lease.Form >= 2 {
 		return true
 	}
@@ -365,14 +365,14 @@
 	return true
 }
 
-// settleForm decides in which form the value is stored from now on, as long as
+// chooseLeaseForm decides in which form the value is stored from now on, as long as
 // the cluster has no level: versions from before levels ask each other which
 // forms they read. There is no way back from a newer form.
-func (l *Leader) settleForm(rec *wire.LeaseRecord) {
-	if rec.Form >= 2 || !l.mayPage() {
+func (l *Leader) chooseLeaseForm(rec *wire.LeaseRecord) {
+	if rec.Form >= 2 || !l.canStorePages() {
 		return
 	}
-	if float64(l.plainSize()) > formPart*1024*l.view.Settings.Cluster.State.ValueKB {
+	if float64(l.inlineValueSize()) > pagedValuePart*1024*l.view.Settings.Cluster.State.ValueKB {
 		rec.Form = 2
 		l.log.Info("lease value is stored with pages from now on")
 	}
