--- a/internal/core/leader/leader.go
+++ b/internal/core/leader/leader.go
@@ -1,11 +1,20 @@
-// Package leader decides for the whole cluster: which controller holds which
-// machines, which is home to which jobs, how limits are shared out, and what is
-// rented and returned. It proposes lease values and asks for cloud calls; it
-// neither stores the value nor knows jobs, and what it knows of machines is
-// what all controllers, its own among them, tell in renewals.
+// Package leader decides for the whole cluster: which controller holds which machines
+// (block leases), which owns which jobs (partitions), how teams' limits are split
+// (quota shares), and which machines are rented and returned (autoscaler).
 //
-// A leader is made when the lease value names its controller and dropped, by
-// End, as soon as it names another. It owns nothing that must outlive it.
+// It owns the next lease value as a proposal and the picture of the rented machines. It
+// assumes that controllers send renewals, that the lease value in the view is the newest
+// one read, and that its caller stores proposals by compare-and-set. It never stores the
+// value itself, knows no jobs, and starts no task.
+//
+// A Leader lives from the moment in which the lease value names its controller until,
+// by Stop, it names another. Nothing that it owns must outlive it: a new one rebuilds
+// its picture from renewals and from the cloud's inventory before it acts.
+//
+// Files: renewals.go (what controllers report), publish.go (the next lease value) with
+// takeover.go, membership.go, partitions.go, quota.go, leaseform.go and level.go (its
+// parts), autoscaler.go with inventory.go, review.go, load.go, scaleout.go, instances.go
+// and fleetlimit.go (machines).
 package leader
 
 import (
@@ -18,32 +27,32 @@
 	"fawncove/internal/core/feature"
 	"fawncove/internal/core/leasevalue"
 	"fawncove/internal/peerpb"
-	"fawncove/internal/wire"
 )
 
-// minWriteInterval spaces the leader's writes of the lease value.
+// minWriteInterval is the least time between two writes of the lease value.
 const minWriteInterval = 100 * time.Millisecond
 
-// LocalController is the controller that leads. The leader asks it for what it hears of
-// the others by message, or sooner than its own next renewal.
+// LocalController is the controller that leads, which the leader asks directly for what
+// it learns of the others by message.
 type LocalController interface {
 	// Renewal describes the controller as renewals describe the others.
 	Renewal() *peerpb.Renewal
-	// EachMachine calls f for each of its machines, in the order of their names,
-	// with how long it has been empty.
-	EachMachine(f func(name string, idle time.Duration, bad, lost bool))
-	// ForeignWorkers are the machines of others, or of nobody, that report there.
+	// EachMachine calls f for each machine of its block, in the order of their names,
+	// with how long it has been idle.
+	EachMachine(f func(name string, idle time.Duration, quarantined, unreachable bool))
+	// ForeignWorkers returns the machines of other blocks, or of none, that send
+	// heartbeats there.
 	ForeignWorkers() []string
-	// TeamUse tells what its tasks use and want, for each limited team.
+	// TeamUse returns what its tasks use and want, for each limited team.
 	TeamUse() map[string]*peerpb.TeamUse
-	// ArrivalRate is the work that has come in lately, in processors.
+	// ArrivalRate returns the work that has arrived lately, in processors.
 	ArrivalRate() float64
-	// UpdateMachineInfo lets it know how to reach machines of its block that have not
-	// reported yet; seen returns nil for those that nobody has heard of.
-	UpdateMachineInfo(seen func(name string) *peerpb.MachineInfo)
+	// UpdateMachineInfo tells it how to reach machines of its block that have not sent
+	// a heartbeat yet. info returns nil for machines that are not known.
+	UpdateMachineInfo(info func(name string) *peerpb.MachineInfo)
 }
 
-// Leader is the state of a leader.
+// Leader is the state of a leader. One goroutine owns it.
 type Leader struct {
 	loop        *eventloop.Loop
 	view        *cluster.View
@@ -51,109 +60,103 @@
 	local       LocalController
 	log         *slog.Logger
 	incarnation uint64 // of this controller's process
-	// budgets are the limits of the settings that bound the fleet, but for the
+	// fleetLimits are the limits of the settings on the size of the fleet, but for the
 	// lease value, whose size is known.
 	fleetLimits []config.Budget
 
-	term            uint64
-	startedAt       time.Time
-	stopped         bool
-	publishPending  bool
-	publishNow      bool // an answer has come in that should be acted on at once
-	minimalWrite    bool // the next write leaves out what can wait
-	lastPublished   time.Time
-	lastStored      time.Time                  // when the last write that is stored was sent
-	renewals        map[string]*peerpb.Renewal // newest of each controller
-	renewalReceived map[string]time.Time       // when it came
-	// renewedAt is when a value with another renewal of that controller was first
-	// seen; its lease may last Lease from then.
-	leaseRenewed   map[string]time.Time
-	deleted        map[string]bool // released, confirmed
-	draining       map[string]bool
-	drainedIdle    map[string]time.Time // when each was recalled that stood empty, see inUseAgain
-	reassignTo     map[string]string    // recalled for another controller
-	autoscaler     autoscaler
+	term      uint64
+	startedAt time.Time
+	stopped   bool
+
+	// Publishing the lease value.
+	publishPending bool      // something is to be published
+	publishNow     bool      // an answer has arrived that should be acted on at once
+	minimalWrite   bool      // the next write leaves out what can wait
+	lastPublished  time.Time // when a value was last proposed
+	lastStored     time.Time // when the last write that is stored was sent
+
+	// Renewals, by controller.
+	renewals        map[string]*peerpb.Renewal // the newest of each
+	renewalReceived map[string]time.Time
+	// leaseRenewed is when a value with another renewal of that controller was first
+	// read; its lease may last for LeaseDuration from then.
+	leaseRenewed map[string]time.Time
+
+	// Machines.
+	deleted     map[string]bool      // the cloud has confirmed the deletion
+	draining    map[string]bool      // to be released by their holders once empty
+	drainedIdle map[string]time.Time // when each that was drained as idle was
+	reassignTo  map[string]string    // controller that a draining machine goes to
+	autoscaler  autoscaler
+
+	// The feature level.
 	levelRaiser    feature.LevelRaiser
 	nextLevelRaise time.Time // no raise before then
 	levelBlockers  []string  // what keeps the level from being raised
 }
 
-// New returns the leader of a term. seen is when the value that it replaces was
-// first seen here: all renewals which that one honours were sent before, so
-// leases count as renewed then, however long the election took. Whoever lives
-// is given the time to renew with the new leader all the same.
-func New(loop *eventloop.Loop, view *cluster.View, book *leasevalue.PageTable, local LocalController, log *slog.Logger, incarnation, term uint64, seen time.Time) *Leader {
-	l := &Leader{loop: loop, view: view, pageTable: book, local: local, log: log, incarnation: incarnation,
+// New returns the leader of a term. valueSeen is when the value that it replaces was
+// first read here: all renewals which that value acknowledges were sent before, so
+// leases count as renewed then, however long the election took. Controllers that are
+// alive are given the time to renew with the new leader all the same.
+func New(loop *eventloop.Loop, view *cluster.View, pageTable *leasevalue.PageTable, local LocalController, log *slog.Logger, incarnation, term uint64, valueSeen time.Time) *Leader {
+	l := &Leader{loop: loop, view: view, pageTable: pageTable, local: local, log: log, incarnation: incarnation,
 		term: term, startedAt: loop.Now, publishPending: true,
-		renewals: map[string]*peerpb.Renewal{}, renewalReceived: map[string]time.Time{},
-		leaseRenewed: map[string]time.Time{}, deleted: map[string]bool{}, draining: map[string]bool{}, drainedIdle: map[string]time.Time{}, reassignTo: map[string]string{}}
-	for _, b := range view.Settings.Budgets() {
-		if b.Field != "cluster.state.value_kb" {
-			l.fleetLimits = append(l.fleetLimits, b)
+		renewals:        map[string]*peerpb.Renewal{},
+		renewalReceived: map[string]time.Time{},
+		leaseRenewed:    map[string]time.Time{},
+		deleted:         map[string]bool{},
+		draining:        map[string]bool{},
+		drainedIdle:     map[string]time.Time{},
+		reassignTo:      map[string]string{}}
+	for _, limit := range view.Settings.Budgets() {
+		if limit.Field != "cluster.state.value_kb" {
+			l.fleetLimits = append(l.fleetLimits, limit)
 		}
 	}
 	l.autoscaler.init()
 	l.levelRaiser.Delay = view.Params.RaiseLevelAfter
-	if least := loop.Now.Add(l.rebuildPeriod() - cluster.RemoteDuration(view.Params.LeaseDuration)); seen.Before(least) {
-		seen = least
+	earliest := loop.Now.Add(l.rebuildPeriod() - cluster.RemoteDuration(view.Params.LeaseDuration))
+	if valueSeen.Before(earliest) {
+		valueSeen = earliest
 	}
 	for node := range view.Lease.Blocks {
-		l.leaseRenewed[node] = seen
+		l.leaseRenewed[node] = valueSeen
 	}
 	return l
 }
 
-// rebuild is how long a new leader waits for renewals of all controllers before
-// it acts on the lack of one.
+// rebuildPeriod returns how long a new leader waits for renewals of all controllers
+// before it acts on a missing one.
 func (l *Leader) rebuildPeriod() time.Duration { return l.view.Params.PublishInterval + time.Second }
 
-// acts tells whether this leader may still rent and return machines. Whoever
-// takes the lead over gives no block away before its lease has lapsed, counted
-// from the last value; until then its holders still stand for what they told.
-// Later a leader that is cut off, or has stood still, would return machines that
-// work for others by now: to it they are silent.
+// leadConfirmed reports whether this leader may still rent and return machines. A
+// successor gives no block away before its lease has lapsed, counted from the last
+// value; until then its holders still stand for what they reported. Later, a leader that
+// is cut off or has been suspended would return machines that work for others: to it
+// they are silent.
 func (l *Leader) leadConfirmed() bool {
 	return l.loop.Now.Sub(l.lastStored) < cluster.LocalDuration(l.view.Params.LeaseDuration)
 }
 
-// Term is the term that it leads.
+// Term returns the term that it leads.
 func (l *Leader) Term() uint64 { return l.term }
 
-// Stop drops the leader: answers that still come change nothing.
+// Stop ends the leader: answers that arrive later change nothing.
 func (l *Leader) Stop() { l.stopped = true }
 
-// HandleRenewal takes in another controller's renewal. It returns false for one that
-// is older than what is known.
-func (l *Leader) HandleRenewal(r *peerpb.Renewal) bool {
-	node := r.GetNode()
-	old := l.renewals[node]
-	if old != nil && (r.GetIncarnation() < old.GetIncarnation() ||
-		(r.GetIncarnation() == old.GetIncarnation() && r.GetNumber() <= old.GetNumber())) {
-		return false
-	}
-	b, ok := l.view.Lease.Blocks[node]
-	if r.GetIncarnation() < b.Incarnation || (r.GetIncarnation() == b.Incarnation && r.GetNumber() < b.Renewal) {
-		return false // from before this controller led
-	}
-	l.renewals[node], l.renewalReceived[node] = r, l.loop.Now
-	if !ok || b.Incarnation != r.GetIncarnation() ||
-		r.GetResigned() || len(r.GetReleased())+len(r.GetSilentMachines())+len(r.GetKnownMachines())+len(r.GetHandovers()) > 0 {
-		l.publishPending = true
-	}
-	return true
-}
-
-// RequestPublish says that there is something to publish.
+// RequestPublish asks for a lease value to be published soon.
 func (l *Leader) RequestPublish() { l.publishPending = true }
 
-// PublishNow tells, once, that an answer has come in that should be acted on now.
+// PublishNow reports, once, whether an answer has arrived that should be acted on now.
 func (l *Leader) PublishNow() bool {
 	again := l.publishNow
 	l.publishNow = false
 	return again
 }
 
-// TakePublishDue tells whether a lease value is to be proposed, and takes it for done.
+// TakePublishDue reports whether a lease value is to be published now, and counts it as
+// published.
 func (l *Leader) TakePublishDue() bool {
 	since := l.loop.Now.Sub(l.lastPublished)
 	if since < l.view.Params.PublishInterval && (!l.publishPending || since < minWriteInterval) {
@@ -163,62 +166,32 @@
 	return true
 }
 
-// PublishStored notes that a proposed value, sent at a moment, is stored.
+// PublishStored records that a proposed value, sent at that time, is stored.
 func (l *Leader) PublishStored(sent time.Time) { l.lastStored = sent }
 
-// LeaseApplied notes that the view has a newer value, where before it had these blocks.
-// The leases that it renews count from now, whoever wrote it and however it came to
-// be known: a write without an answer may be carried out late, and its holders
-// then have the time that it gives them.
-func (l *Leader) LeaseApplied(before map[string]wire.Block) {
-	for node, b := range l.view.Lease.Blocks {
-		if old := before[node]; b.Renewal != old.Renewal || b.Incarnation != old.Incarnation {
-			l.leaseRenewed[node] = l.loop.Now
-		}
-	}
-}
-
-// ValueTooLarge notes that a proposed value could not be written in one transaction.
-// The same again would fail again, and with it every renewal: the next one
-// leaves out what can wait.
+// ValueTooLarge records that a proposed value did not fit into one transaction. The same
+// again would fail again, and with it every renewal, so the next one leaves out what can
+// wait.
 func (l *Leader) ValueTooLarge() { l.minimalWrite, l.publishPending = true, true }
 
-// MachineDeleted notes that the cloud has confirmed the end of a machine.
+// MachineDeleted records that the cloud has confirmed the deletion of a machine.
 func (l *Leader) MachineDeleted(name string) {
 	l.deleted[name] = true
 	delete(l.autoscaler.deleting, name)
 	delete(l.autoscaler.unreachable, name)
-	if r := l.autoscaler.instances[name]; r != nil {
-		// Whatever was refused before, there is room again.
-		delete(l.autoscaler.noCapacityUntil, r.market)
+	if known := l.autoscaler.instances[name]; known != nil {
+		// Whatever was refused before, the market has capacity again.
+		delete(l.autoscaler.noCapacityUntil, known.market)
 		delete(l.autoscaler.instances, name)
 	}
 	l.publishPending = true
 }
 
-// MachineInfo describes a machine as far as anybody has told, or returns nil.
+// MachineInfo describes a machine as far as it is known, or returns nil.
 func (l *Leader) MachineInfo(name string) *peerpb.MachineInfo {
-	r := l.autoscaler.instances[name]
-	if r == nil {
+	known := l.autoscaler.instances[name]
+	if known == nil {
 		return nil
 	}
-	return &peerpb.MachineInfo{Name: name, Endpoint: r.endpoint, Type: r.machineType, Zone: r.zone, Spot: r.spot, AgentEpoch: r.agentEpoch}
-}
-
-// alive tells whether a controller renewed lately.
-func (l *Leader) isAlive(node string) bool {
-	at, ok := l.renewalReceived[node]
-	if l.renewals[node].GetResigned() {
-		return false
-	}
-	return node == l.view.Self || (ok && l.loop.Now.Sub(at) < 2*l.view.Params.PublishInterval+time.Second)
-}
-
-// unpack reads a set of machines from a renewal.
-func (l *Leader) unpackNames(text string) []string {
-	names, err := wire.UnpackNames(text)
-	if err != nil {
-		l.log.Error("names in a renewal", "err", err)
-	}
-	return names
+	return &peerpb.MachineInfo{Name: name, Endpoint: known.endpoint, Type: known.machineType, Zone: known.zone, Spot: known.spot, AgentEpoch: known.agentEpoch}
 }
--- a/internal/core/leader/level.go
+++ b/internal/core/leader/level.go
@@ -9,23 +9,24 @@
 	"fawncove/internal/wire"
 )
 
-// levelRaiseInterval spaces the tries to raise the level. A raise is conditional on what
-// all controllers have stored of themselves too; should one of these have
-// changed, the whole value is refused, and the next one must not be.
+// levelRaiseInterval is the least time between two tries to raise the feature level. A
+// raise is also conditional on what all controllers have stored of themselves; should one
+// of these records have changed, the whole value is refused, and the next one must not be.
 const levelRaiseInterval = 5 * time.Second
 
-// raiseLevel decides on the level of the cluster, which stands in the value and
-// is raised by nobody else.
+// raiseLevel decides on the feature level of the cluster, which is part of the lease
+// value; only the leader raises it.
 func (l *Leader) raiseLevel(rec *wire.LeaseRecord) {
 	if !l.view.Params.Levels.KnowsLevels() {
 		return
 	}
 	state := l.view.Levels()
-	request := feature.OperatorRequest{TargetLevel: feature.Level(l.view.OperatorRequest.Value.TargetLevel), Hold: l.view.OperatorRequest.Value.HoldLevel}
-	next, waits := l.levelRaiser.Decide(l.loop.Now, state, l.view.Params.Levels, l.view.Members(l.incarnation, l.loop.Now), request)
-	if !slices.Equal(waits, l.levelBlockers) {
-		l.log.Debug("level", "level", state.Level, "confirmed", state.Confirmed, "waits", waits)
-		l.levelBlockers = waits
+	stored := l.view.OperatorRequest.Value
+	request := feature.OperatorRequest{TargetLevel: feature.Level(stored.TargetLevel), Hold: stored.HoldLevel}
+	next, blockers := l.levelRaiser.Decide(l.loop.Now, state, l.view.Params.Levels, l.view.Members(l.incarnation, l.loop.Now), request)
+	if !slices.Equal(blockers, l.levelBlockers) {
+		l.log.Debug("level", "level", state.Level, "confirmed", state.Confirmed, "waits", blockers)
+		l.levelBlockers = blockers
 	}
 	if next == state || l.loop.Now.Before(l.nextLevelRaise) {
 		return
@@ -38,5 +39,5 @@
 	}
 }
 
-// LevelBlockers tells what keeps the level of the cluster from being raised.
+// LevelBlockers returns what keeps the level of the cluster from being raised.
 func (l *Leader) LevelBlockers() []string { return l.levelBlockers }
