--- a/internal/core/cluster/cluster.go
+++ b/internal/core/cluster/cluster.go
@@ -69,7 +69,7 @@
 
 // Defaults are the starting values.
 func Defaults() Params {
-	return Params{LeaseDuration: 20 * time.Second, PublishInterval: 5 * time.Second, LookAheadThreshold: sched.K2, SinglePartitionBelow: 100, ShardLimitedAbove: 700, MoveJobAfter: 30 * time.Second,
+	return Params{LeaseDuration: 20 * time.Second, PublishInterval: 5 * time.Second, LookAheadThreshold: sched.DefaultLookAheadThreshold, SinglePartitionBelow: 100, ShardLimitedAbove: 700, MoveJobAfter: 30 * time.Second,
 		Levels: feature.Current(), Version: "unknown", RaiseLevelAfter: DefaultRaiseLevelAfter}
 }
 
--- a/internal/core/feature/feature.go
+++ b/internal/core/feature/feature.go
@@ -93,12 +93,12 @@
 }
 
 // Info describes the gate.
-func (g Gate) Info() Info { return table()[g] }
+func (g Gate) Info() Info { return gates()[g] }
 
 // All lists the gates in order.
 func All() []Gate { return []Gate{LeaseLevel, Envelope} }
 
-func table() [2]Info {
+func gates() [2]Info {
 	return [...]Info{
 		LeaseLevel: {Name: "lease-level", Level: 1, Version: "0.2"},
 		Envelope:   {Name: "envelope", Level: 2, NeedsConfirmation: true, Version: "0.2"},
--- a/internal/core/feature/raise.go
+++ b/internal/core/feature/raise.go
@@ -30,7 +30,7 @@
 // MissingFor returns why a controller keeps the cluster from a level, or "". What
 // it told counts only as the process that it now is: an earlier one may have
 // been of another version.
-func (m Member) MissingFor(l Level) string {
+func (m Member) BlockerFor(l Level) string {
 	switch {
 	case m.Process == 0:
 		return "was never heard; it is named in the settings"
@@ -62,9 +62,9 @@
 	// is raised without the operator's word; 0: never.
 	Delay time.Duration
 
-	last      time.Time           // decision
-	since     map[Level]time.Time // all able, without a break
-	confirmed time.Time           // since when all tell that they have read the level; zero: not all
+	lastDecision    time.Time           // decision
+	followableSince map[Level]time.Time // all able, without a break
+	confirmedSince  time.Time           // since when all tell that they have read the level; zero: not all
 }
 
 // SettleTime is for how long all must have been able to follow, or have told that
@@ -73,49 +73,49 @@
 // for heard once more, for as long as a frame counts. Steady is longer.
 const SettleTime = 5 * time.Second
 
-// unbroken is the longest time between two decisions that says nothing: a leader
+// maxDecisionGap is the longest time between two decisions that says nothing: a leader
 // decides with every value that it publishes, every 5 s. One that stood still
 // for longer has missed whatever went in between, and the frames that wait for it
 // when it wakes are old.
-const unbroken = 8 * time.Second
+const maxDecisionGap = 8 * time.Second
 
 // Decide returns what the level should be now, of a leader that can follow
 // levels, and what keeps the cluster from the newest of them.
 func (r *LevelRaiser) Decide(now time.Time, st State, own Range, members []Member, word OperatorRequest) (State, []string) {
-	if r.since == nil || now.Sub(r.last) > unbroken {
-		r.since, r.confirmed = map[Level]time.Time{}, time.Time{}
+	if r.followableSince == nil || now.Sub(r.lastDecision) > maxDecisionGap {
+		r.followableSince, r.confirmedSince = map[Level]time.Time{}, time.Time{}
 	}
-	r.last = now
+	r.lastDecision = now
 	next := st
 	var waits []string
 	for l := st.Level + 1; l <= own.Newest; l++ {
-		lacking := lacks(members, l)
+		lacking := blockersFor(members, l)
 		if len(lacking) > 0 {
-			delete(r.since, l)
+			delete(r.followableSince, l)
 			if len(waits) == 0 {
 				waits = lacking
 			}
 			continue
 		}
-		if _, ok := r.since[l]; !ok {
-			r.since[l] = now
+		if _, ok := r.followableSince[l]; !ok {
+			r.followableSince[l] = now
 		}
-		able := now.Sub(r.since[l])
+		able := now.Sub(r.followableSince[l])
 		byItself := r.Delay > 0 && !word.Hold && able >= r.Delay
 		if (word.TargetLevel >= l || byItself) && able >= SettleTime && next.Level == l-1 {
 			next.Level = l
 		} else if len(waits) == 0 {
-			waits = []string{fmt.Sprintf("level %d: all can follow; waits for %s", l, awaits(r, word, l))}
+			waits = []string{fmt.Sprintf("level %d: all can follow; waits for %s", l, waitsFor(r, word, l))}
 		}
 	}
 	// Confirmed is a fact, and stands in the value so that whoever leads next
 	// knows it: all have read the level that the value had before this write.
 	if st.Confirmed >= st.Level {
-		r.confirmed = time.Time{}
+		r.confirmedSince = time.Time{}
 	} else {
 		var unseen []string
 		for _, m := range members {
-			if why := m.MissingFor(st.Level); why != "" {
+			if why := m.BlockerFor(st.Level); why != "" {
 				unseen = append(unseen, m.Name+" "+why)
 			} else if m.SeenLevel < st.Level {
 				unseen = append(unseen, fmt.Sprintf("%s has not read level %d yet", m.Name, st.Level))
@@ -123,33 +123,33 @@
 		}
 		switch {
 		case len(unseen) > 0:
-			r.confirmed = time.Time{}
+			r.confirmedSince = time.Time{}
 			waits = append(waits, unseen...)
-		case r.confirmed.IsZero():
-			r.confirmed = now
-		case now.Sub(r.confirmed) >= SettleTime:
+		case r.confirmedSince.IsZero():
+			r.confirmedSince = now
+		case now.Sub(r.confirmedSince) >= SettleTime:
 			next.Confirmed = st.Level
 		}
 	}
 	return next, waits
 }
 
-func lacks(members []Member, l Level) []string {
+func blockersFor(members []Member, l Level) []string {
 	var out []string
 	for _, m := range members {
-		if why := m.MissingFor(l); why != "" {
+		if why := m.BlockerFor(l); why != "" {
 			out = append(out, m.Name+" "+why)
 		}
 	}
 	return out
 }
 
-func awaits(r *LevelRaiser, word OperatorRequest, l Level) string {
+func waitsFor(r *LevelRaiser, word OperatorRequest, l Level) string {
 	switch {
 	case word.Hold:
 		return "the operator, who holds it"
 	case r.Delay == 0:
 		return "the operator"
 	}
-	return fmt.Sprintf("the operator, or %v from %s on", r.Delay, r.since[l].UTC().Format(time.TimeOnly))
+	return fmt.Sprintf("the operator, or %v from %s on", r.Delay, r.followableSince[l].UTC().Format(time.TimeOnly))
 }
--- a/internal/core/leader/instances.go
+++ b/internal/core/leader/instances.go
@@ -19,7 +19,7 @@
 
 // createInstances rents an order's machines, with a request for each
 // MaxInstancesPerRequest of them.
-func (l *Leader) createInstances(order sched.ScaleOut) {
+func (l *Leader) createInstances(order sched.ScaleOutOrder) {
 	for ; order.Count > wire.MaxInstancesPerRequest; order.Count -= wire.MaxInstancesPerRequest {
 		batch := order
 		batch.Count = wire.MaxInstancesPerRequest
@@ -30,7 +30,7 @@
 
 // requestInstances sends one request for machines. Its id is made of the term, so that
 // no controller ever uses it again.
-func (l *Leader) requestInstances(order sched.ScaleOut) {
+func (l *Leader) requestInstances(order sched.ScaleOutOrder) {
 	a := &l.autoscaler
 	a.requestCount++
 	a.createsInFlight++
--- a/internal/core/leader/load.go
+++ b/internal/core/leader/load.go
@@ -99,7 +99,7 @@
 		if count <= 0 {
 			continue
 		}
-		l.createInstances(sched.ScaleOut{Offer: offer, Count: count})
+		l.createInstances(sched.ScaleOutOrder{Offer: offer, Count: count})
 		a.spotCPUs += float64(count) * offer.Size.CPUs
 		left -= count
 	}
--- a/internal/core/owner/owner.go
+++ b/internal/core/owner/owner.go
@@ -84,7 +84,7 @@
 	stopping  map[string]sched.Resources // the part of used that is being stopped
 	classes   map[string]*classStats
 	Served    servicereport.Tally
-	inflow    sched.Inflow
+	inflow    sched.ArrivalCounter
 	placeDue  bool
 	placedAt  time.Time
 	preemptAt time.Time
--- a/internal/core/sched/sched.go
+++ b/internal/core/sched/sched.go
@@ -1,5 +1,6 @@
-// Package sched holds the pure decisions: who comes next, where a task fits,
-// what a team may still use and which machines to rent.
+// Package sched holds the pure decisions of the scheduler: the order of ready jobs, the
+// cost of a placement, limits, preemption victims, and which machines to rent. Its
+// functions depend on their arguments only; they read no clock and keep no state.
 package sched
 
 import "math"
@@ -7,35 +8,35 @@
 // Resources is what a task takes, or a machine has.
 type Resources struct{ CPUs, GPUs, MemoryGB float64 }
 
-// slack absorbs rounding when many small amounts are added up.
-const slack = 1e-6
+// rounding absorbs rounding when many small amounts are added up.
+const rounding = 1e-6
 
 // Add returns a + n·b.
 func (a Resources) Add(b Resources, n float64) Resources {
 	return Resources{a.CPUs + n*b.CPUs, a.GPUs + n*b.GPUs, a.MemoryGB + n*b.MemoryGB}
 }
 
-// Fits tells whether a fits into room.
+// Fits reports whether a fits into room.
 func (a Resources) Fits(room Resources) bool {
-	return a.CPUs <= room.CPUs+slack && a.GPUs <= room.GPUs+slack && a.MemoryGB <= room.MemoryGB+slack
+	return a.CPUs <= room.CPUs+rounding && a.GPUs <= room.GPUs+rounding && a.MemoryGB <= room.MemoryGB+rounding
 }
 
-// Copies tells how often a fits into room.
+// Copies returns how often a fits into room.
 func (a Resources) Copies(room Resources) int {
-	n := math.MaxInt32
-	for _, p := range [][2]float64{{a.CPUs, room.CPUs}, {a.GPUs, room.GPUs}, {a.MemoryGB, room.MemoryGB}} {
-		if p[0] > 0 {
-			n = min(n, int(math.Max(0, (p[1]+slack)/p[0])))
+	copies := math.MaxInt32
+	for _, resource := range [...]struct{ need, room float64 }{{a.CPUs, room.CPUs}, {a.GPUs, room.GPUs}, {a.MemoryGB, room.MemoryGB}} {
+		if resource.need > 0 {
+			copies = min(copies, int(max(0, (resource.room+rounding)/resource.need)))
 		}
 	}
-	return n
+	return copies
 }
 
-// K2 is the paper's threshold: from this many waiting tasks on, a machine
-// kind counts as loaded.
-const K2 = 2
+// DefaultLookAheadThreshold is the threshold k2 of the look-ahead: from this many waiting
+// tasks on, a machine type counts as loaded.
+const DefaultLookAheadThreshold = 2
 
-// Rating is the paper's two-level priority P2(L).
+// Rating is the two-level priority P2(L) of the look-ahead.
 type Rating int
 
 // The ratings, best first.
@@ -44,22 +45,22 @@
 	Low
 )
 
-// Rate rates a step by the load level of its successor's machine kind: high
-// below the threshold, low at or above it. A step without a known successor
-// rates high, as nothing says that it would wait afterwards.
-func Rate(successor string, waiting map[string]int, k2 int) Rating {
-	if successor != "" && waiting[successor] >= k2 {
+// Rate rates a step by the load level of its successor's machine type: high below the
+// threshold, low at or above it. A step without a known successor rates high, as nothing
+// says that it would wait afterwards.
+func Rate(successor string, waiting map[string]int, threshold int) Rating {
+	if successor != "" && waiting[successor] >= threshold {
 		return Low
 	}
 	return High
 }
 
-// Ready is a job with tasks ready to run, as far as its order goes.
+// Ready is what of a job with tasks ready to run decides its order.
 type Ready struct {
 	Rank      int  // job priority, 0 is the highest
-	Borrowing bool // its team is beyond its guarantee
+	Borrowing bool // its team uses more than its guarantee
 	Rating    Rating
-	Due       int64 // when it should start at the latest
+	Due       int64 // latest time to start
 	Arrival   int64
 	ID        string
 }
@@ -85,18 +86,18 @@
 // Limit is a team's limit; 0 means none.
 type Limit struct{ CPUs, GPUs float64 }
 
-// Any tells whether there is a limit at all.
+// Any reports whether there is a limit at all.
 func (l Limit) Any() bool { return l.CPUs > 0 || l.GPUs > 0 }
 
-// Allows tells whether a team that uses used may take more.
+// Allows reports whether a team that uses used may take more.
 func (l Limit) Allows(used, more Resources) bool {
-	if l.CPUs > 0 && used.CPUs+more.CPUs > l.CPUs+slack {
+	if l.CPUs > 0 && used.CPUs+more.CPUs > l.CPUs+rounding {
 		return false
 	}
-	return l.GPUs <= 0 || used.GPUs+more.GPUs <= l.GPUs+slack
+	return l.GPUs <= 0 || used.GPUs+more.GPUs <= l.GPUs+rounding
 }
 
-// Candidate is a machine as the choice of a place sees it.
+// Candidate is a machine as the scoring of placements sees it.
 type Candidate struct {
 	Free          Resources
 	Size          Resources
@@ -105,29 +106,29 @@
 }
 
 const (
-	// dearS is how many seconds of waiting for an image a doubled price
-	// weighs: dear machines that stay empty can be returned.
-	dearS = 3.0
-	// leftS weighs the share of a machine that stays free, which keeps other
-	// machines empty for return.
-	leftS = 6.0
-	// leftUrgentS is the same for urgent tasks, for which a second of
-	// fetching counts more than machines that could be returned.
-	leftUrgentS = 1.0
-	// dearUrgentS only decides between places that are equal otherwise.
-	dearUrgentS = 0.2
+	// priceWeightS is how many seconds of waiting for an image a doubled price weighs:
+	// expensive machines that stay empty can be returned.
+	priceWeightS = 3.0
+	// freeRoomWeightS weighs the part of a machine that stays free: filling machines up
+	// keeps others empty, to be returned.
+	freeRoomWeightS = 6.0
+	// freeRoomWeightUrgentS is the same for urgent tasks, for which a second of image
+	// fetch counts more than machines that could be returned.
+	freeRoomWeightUrgentS = 1.0
+	// priceWeightUrgentS only decides between candidates that are equal otherwise.
+	priceWeightUrgentS = 0.2
 )
 
-// Cost rates a place for a task that takes need: lower is better. For urgent
-// tasks the price hardly counts.
-func Cost(need Resources, p Candidate, urgent bool) float64 {
-	left, dear := leftS, dearS
+// Cost scores a candidate for a task that takes need; lower is better. For urgent tasks
+// the price hardly counts.
+func Cost(need Resources, candidate Candidate, urgent bool) float64 {
+	freeRoomWeight, priceWeight := freeRoomWeightS, priceWeightS
 	if urgent {
-		left, dear = leftUrgentS, dearUrgentS
+		freeRoomWeight, priceWeight = freeRoomWeightUrgentS, priceWeightUrgentS
 	}
-	cost := p.ImageFetchS + dear*(p.RelativePrice-1)
-	if p.Size.CPUs > 0 {
-		cost += left * (p.Free.CPUs - need.CPUs) / p.Size.CPUs
+	cost := candidate.ImageFetchS + priceWeight*(candidate.RelativePrice-1)
+	if candidate.Size.CPUs > 0 {
+		cost += freeRoomWeight * (candidate.Free.CPUs - need.CPUs) / candidate.Size.CPUs
 	}
 	return cost
 }
--- a/internal/core/sched/sched_test.go
+++ b/internal/core/sched/sched_test.go
@@ -13,7 +13,7 @@
 		{"big", Low},      // at the threshold
 		{"unknown", High}, // nothing waits there
 	} {
-		if got := Rate(c.successor, waiting, K2); got != c.want {
+		if got := Rate(c.successor, waiting, DefaultLookAheadThreshold); got != c.want {
 			t.Errorf("Rate(%q) = %v, want %v", c.successor, got, c.want)
 		}
 	}
--- a/internal/core/servicereport/report.go
+++ b/internal/core/servicereport/report.go
@@ -23,9 +23,9 @@
 
 // Summary adds up logs.
 type Summary struct {
-	groups map[Group]*Counts
-	sizes  map[Group]map[int]*Counts
-	oldest map[Group]time.Duration
+	counts       map[Group]*Counts
+	sizes        map[Group]map[int]*Counts
+	longestWaits map[Group]time.Duration
 }
 
 // Add reads one controller's log, from the start of its process on. It returns
@@ -70,7 +70,7 @@
 	}
 	var one Summary
 	for _, kv := range lines {
-		if err := one.line(kv); err != nil {
+		if err := one.addLine(kv); err != nil {
 			return err
 		}
 	}
@@ -79,7 +79,7 @@
 }
 
 // line adds one line.
-func (s *Summary) line(kv map[string]string) error {
+func (s *Summary) addLine(kv map[string]string) error {
 	g := Group{Team, kv[Team]}
 	if g.Name == "" {
 		g = Group{Class, kv[Class]}
@@ -100,7 +100,7 @@
 	if err != nil {
 		return fmt.Errorf("oldest of %s %s: %w", g.Kind, g.Name, err)
 	}
-	one := Summary{groups: map[Group]*Counts{g: &c}, oldest: map[Group]time.Duration{g: oldest}}
+	one := Summary{counts: map[Group]*Counts{g: &c}, longestWaits: map[Group]time.Duration{g: oldest}}
 	if text := kv["sizes"]; text != "" {
 		sizes, err := parseSizes(text)
 		if err != nil {
@@ -116,15 +116,15 @@
 }
 
 func (s *Summary) merge(d *Summary) {
-	if s.groups == nil {
-		s.groups, s.sizes, s.oldest = map[Group]*Counts{}, map[Group]map[int]*Counts{}, map[Group]time.Duration{}
+	if s.counts == nil {
+		s.counts, s.sizes, s.longestWaits = map[Group]*Counts{}, map[Group]map[int]*Counts{}, map[Group]time.Duration{}
 	}
-	for g, c := range d.groups {
-		if s.groups[g] == nil {
-			s.groups[g] = &Counts{}
+	for g, c := range d.counts {
+		if s.counts[g] == nil {
+			s.counts[g] = &Counts{}
 		}
-		s.groups[g].add(*c)
-		s.oldest[g] = max(s.oldest[g], d.oldest[g])
+		s.counts[g].add(*c)
+		s.longestWaits[g] = max(s.longestWaits[g], d.longestWaits[g])
 		for b, c := range d.sizes[g] {
 			if s.sizes[g] == nil {
 				s.sizes[g] = map[int]*Counts{}
@@ -154,9 +154,9 @@
 // Rows lists all groups, teams first.
 func (s *Summary) Rows() []Row {
 	var out []Row
-	for _, g := range slices.SortedFunc(maps.Keys(s.groups), func(a, b Group) int { return -a.compare(b) }) {
-		c := *s.groups[g]
-		row := Row{Kind: g.Kind, Name: g.Name, Counts: c, Share: share(c), OldestS: s.oldest[g].Seconds()}
+	for _, g := range slices.SortedFunc(maps.Keys(s.counts), func(a, b Group) int { return -a.compare(b) }) {
+		c := *s.counts[g]
+		row := Row{Kind: g.Kind, Name: g.Name, Counts: c, Share: share(c), OldestS: s.longestWaits[g].Seconds()}
 		if row.Share < 0.5 {
 			row.Failed = "less than half was served"
 		}
@@ -189,7 +189,7 @@
 	buckets := slices.Sorted(maps.Keys(s.sizes[g]))
 	slices.Reverse(buckets)
 	for _, b := range buckets {
-		if top.Accepted > 0 && 10*top.Accepted >= s.groups[g].Accepted {
+		if top.Accepted > 0 && 10*top.Accepted >= s.counts[g].Accepted {
 			break
 		}
 		top.add(*s.sizes[g][b])
--- a/internal/core/servicereport/servicereport.go
+++ b/internal/core/servicereport/servicereport.go
@@ -70,23 +70,23 @@
 // Tally are the counts of one controller since it last logged them. Its zero
 // value is ready.
 type Tally struct {
-	groups map[Group]*Counts
-	sizes  map[Group]map[int]*Counts // of classes, by bucket
-	next   time.Time
+	counts  map[Group]*Counts
+	sizes   map[Group]map[int]*Counts // of classes, by bucket
+	nextLog time.Time
 }
 
 // bucket is the size of a job as a power of two: 7 for 64 to 127 tasks.
 func bucket(tasks int) int { return bits.Len(uint(max(0, tasks))) }
 
-func (t *Tally) each(j *wire.Job, f func(c *Counts)) {
-	if t.groups == nil {
-		t.groups, t.sizes = map[Group]*Counts{}, map[Group]map[int]*Counts{}
+func (t *Tally) forEach(j *wire.Job, f func(c *Counts)) {
+	if t.counts == nil {
+		t.counts, t.sizes = map[Group]*Counts{}, map[Group]map[int]*Counts{}
 	}
 	for _, g := range []Group{{Team, j.Team}, {Class, j.Class}} {
-		if t.groups[g] == nil {
-			t.groups[g] = &Counts{}
+		if t.counts[g] == nil {
+			t.counts[g] = &Counts{}
 		}
-		f(t.groups[g])
+		f(t.counts[g])
 	}
 	class, b := Group{Class, j.Class}, bucket(j.Tasks)
 	if t.sizes[class] == nil {
@@ -99,14 +99,14 @@
 }
 
 // Submitted counts a valid submission of a job that is not known yet.
-func (t *Tally) Submitted(j *wire.Job) { t.each(j, func(c *Counts) { c.Submitted++ }) }
+func (t *Tally) Submitted(j *wire.Job) { t.forEach(j, func(c *Counts) { c.Submitted++ }) }
 
 // Accepted counts a job whose record is stored.
-func (t *Tally) Accepted(j *wire.Job) { t.each(j, func(c *Counts) { c.Accepted++ }) }
+func (t *Tally) Accepted(j *wire.Job) { t.forEach(j, func(c *Counts) { c.Accepted++ }) }
 
 // Started counts a job whose first task is started after a wait.
 func (t *Tally) Started(j *wire.Job, wait time.Duration) {
-	t.each(j, func(c *Counts) {
+	t.forEach(j, func(c *Counts) {
 		c.Started++
 		if wait > LateAfter {
 			c.StartedLate++
@@ -116,7 +116,7 @@
 
 // Ended counts a job whose end is stored.
 func (t *Tally) Ended(j *wire.Job, cancelled, begun bool) {
-	t.each(j, func(c *Counts) {
+	t.forEach(j, func(c *Counts) {
 		c.Ended++
 		if cancelled {
 			c.Cancelled++
@@ -130,16 +130,16 @@
 // Log logs the counts when that is due, a line a group, and begins anew. waiting
 // is asked only then.
 func (t *Tally) Log(now time.Time, log *slog.Logger, waiting func() map[Group]Waiting) {
-	if t.next.IsZero() {
-		t.next = now.Add(LogInterval)
+	if t.nextLog.IsZero() {
+		t.nextLog = now.Add(LogInterval)
 	}
-	if now.Before(t.next) {
+	if now.Before(t.nextLog) {
 		return
 	}
-	t.next = now.Add(LogInterval)
+	t.nextLog = now.Add(LogInterval)
 	waits := waiting()
 	groups := map[Group]bool{}
-	for g := range t.groups {
+	for g := range t.counts {
 		groups[g] = true
 	}
 	for g := range waits {
@@ -147,8 +147,8 @@
 	}
 	for _, g := range slices.SortedFunc(maps.Keys(groups), Group.compare) {
 		var c Counts
-		if t.groups[g] != nil {
-			c = *t.groups[g]
+		if t.counts[g] != nil {
+			c = *t.counts[g]
 		}
 		w := waits[g]
 		args := []any{g.Kind, g.Name, "came", c.Submitted, "accepted", c.Accepted, "begun", c.Started, "late", c.StartedLate,
@@ -159,7 +159,7 @@
 		}
 		log.Info(LogMessage, args...)
 	}
-	t.groups, t.sizes = nil, nil
+	t.counts, t.sizes = nil, nil
 }
 
 func (g Group) compare(h Group) int {
--- a/internal/upgrade/plan.go
+++ b/internal/upgrade/plan.go
@@ -75,7 +75,7 @@
 	for _, c := range p.Controllers {
 		m := feature.Member{Name: c.Name, Reachable: true, Process: max(c.Holder, c.Process), LeaseIncarnation: c.Holder,
 			Announced: feature.Announcement{Incarnation: c.Process, Version: c.Version, Levels: feature.Range{Oldest: feature.Level(c.Oldest), Newest: feature.Level(c.Newest)}}}
-		if why := m.MissingFor(l); why != "" {
+		if why := m.BlockerFor(l); why != "" {
 			out = append(out, c.Name+" "+why)
 		}
 	}
