--- a/internal/core/feature/feature.go
+++ b/internal/core/feature/feature.go
@@ -1,41 +1,42 @@
-// Package feature is how new behaviour and new stored forms come into a cluster
-// whose controllers are replaced one by one.
+// Package feature is how new behaviour and new stored forms come into a cluster whose
+// controllers are replaced one by one.
 //
-// The cluster has a level, which stands in the lease value and so is part of
-// every compare. Each new behaviour is a gate with the level that opens it. A
-// version says which levels it can work under; the level is raised only when
-// every controller of the settings, as the process that it is at that moment,
-// has told that it can follow, and never goes back. A controller that reads a
-// level beyond its own serves nobody.
+// The cluster has a feature level, which is part of the lease value and so of every
+// compare-and-set. Each new behaviour is a feature gate with the level that opens it. A
+// version says which levels it can work under; the level is raised only when every
+// controller of the settings, as the process that it is at that moment, has announced
+// that it can follow, and is never lowered. A controller that reads a level beyond its own
+// serves nobody.
 //
-// A raise reaches the controllers one after the other, so for a while two act
-// under different levels. Each gate says in its comment why that breaks no rule,
-// or waits: it opens only when all controllers have confirmed that they have
-// seen the level, which the lease value says too.
+// A raise reaches the controllers one after the other, so for a while two work under
+// different levels. Each gate says in its comment why that breaks no rule, or it needs
+// confirmation: it opens only when the lease value says that all controllers have read the
+// level.
 //
-// The package decides and nothing else: it reads no clock, sends nothing, and
-// knows of the state service only what it is handed.
+// The package only decides: it reads no clock, sends nothing, and knows of the state
+// service only what it is given.
 package feature
 
 import "fmt"
 
-// Level is the level of a cluster, or that which a gate needs. Level 0 is that
+// Level is the feature level of a cluster, or the one that a gate needs. Level 0 is that
 // of all versions from before there were levels: no value names it.
 type Level uint32
 
 const (
-	// Oldest and Newest are the levels that this version can work under.
+	// Oldest is the lowest level that this version can work under.
 	Oldest Level = 0
+	// Newest is the highest level that this version can work under.
 	Newest Level = 2
 )
 
-// Range is what levels a version can work under.
+// Range is the levels that a version can work under.
 type Range struct{ Oldest, Newest Level }
 
-// Current is the range of this version.
+// Current returns the range of this version.
 func Current() Range { return Range{Oldest, Newest} }
 
-// KnowsLevels tells whether the version knows of levels at all.
+// KnowsLevels reports whether the version knows levels at all.
 func (r Range) KnowsLevels() bool { return r.Newest > 0 }
 
 // Follow returns a LevelError if a version cannot work under a level.
@@ -46,12 +47,13 @@
 	return nil
 }
 
-// LevelError says that a version cannot work under the level of the cluster.
+// LevelError reports that a version cannot work under the level of the cluster.
 type LevelError struct {
 	Level     Level
 	Supported Range
 }
 
+// Error says which version is needed.
 func (e LevelError) Error() string {
 	if e.Level > e.Supported.Newest {
 		return fmt.Sprintf("the cluster is at level %d, this version follows up to %d: a newer version is needed", e.Level, e.Supported.Newest)
@@ -66,21 +68,21 @@
 	// LeaseLevel: the lease value is stored in the form that names level and
 	// generation, with pages and shares, without asking who reads them.
 	//
-	// Side by side: the value is the single point of every compare. Whoever has
-	// not read the raise yet bases its writes on a version that is gone, so
-	// they fail; all others only read, and have told that they can. An earlier
-	// version cannot read the value, and is granted nothing by it.
+	// Side by side: the value is the single point of every compare-and-set. A
+	// controller that has not read the raise yet bases its writes on a version that is
+	// gone, so they fail; all others only read, and have announced that they can. An
+	// earlier version cannot read the value, and is granted nothing by it.
 	LeaseLevel Gate = iota
 	// Envelope: records of jobs and pages of completed tasks are stored with
 	// their form, the generation of the state and, for jobs, the version under
 	// which they were first stored.
 	//
-	// It waits. A controller that went back to a version without levels in the
-	// very moment of a raise, before the leader could know, still passes for
-	// healthy with the lease value that it read earlier; a job in an envelope
-	// would be 503 to its users for as long as it lives. It never confirms, so
-	// while it is there nothing is stored that it cannot read. All others read
-	// both forms, and decide by versions, whatever the form.
+	// It needs confirmation. A controller that went back to a version without levels at
+	// the very moment of a raise, before the leader could know, still counts as healthy
+	// with the lease value that it read earlier, and would answer "unavailable" for a job
+	// in an envelope for as long as the job lives. It never confirms the level, so nothing
+	// is stored that it cannot read. All others read both forms, and decide by versions,
+	// whatever the form.
 	Envelope
 )
 
@@ -92,10 +94,10 @@
 	Version           string // of the program that brought it
 }
 
-// Info describes the gate.
+// Info returns the description of the gate.
 func (g Gate) Info() Info { return gates()[g] }
 
-// All lists the gates in order.
+// All returns the gates in order.
 func All() []Gate { return []Gate{LeaseLevel, Envelope} }
 
 func gates() [2]Info {
@@ -105,13 +107,13 @@
 	}
 }
 
-// State is what the lease value says of levels.
+// State is what the lease value says of the feature level.
 type State struct {
 	Level     Level
-	Confirmed Level // seen by all controllers
+	Confirmed Level // read by all controllers
 }
 
-// Open tells whether a gate is open.
+// Open reports whether a gate is open.
 func (s State) Open(g Gate) bool {
 	i := g.Info()
 	if i.NeedsConfirmation {
--- a/internal/core/servicereport/report.go
+++ b/internal/core/servicereport/report.go
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// What a log is refused for.
+// The reasons for which a log is refused.
 var (
 	ErrEmpty            = errors.New("empty log")
 	ErrNotControllerLog = errors.New("not the log of a controller from its start")
@@ -21,16 +21,15 @@
 	ErrNoCounts         = errors.New("log says nothing of what was served: LOG_LEVEL has to be info or debug")
 )
 
-// Summary adds up logs.
+// Summary adds up the logs of controllers. The zero value is empty.
 type Summary struct {
 	counts       map[Group]*Counts
 	sizes        map[Group]map[int]*Counts
 	longestWaits map[Group]time.Duration
 }
 
-// Add reads one controller's log, from the start of its process on. It returns
-// one of the errors above, or what is wrong with a line, and then has added
-// nothing.
+// Add reads one controller's log, from the start of its process on. On an error, one of
+// those above or what is wrong with a line, it has added nothing.
 func (s *Summary) Add(r io.Reader) error {
 	text, err := io.ReadAll(r)
 	switch {
@@ -41,12 +40,12 @@
 	case text[len(text)-1] != '\n':
 		return ErrTruncated
 	}
-	began, said := false, false
+	started, counted := false, false
 	var lines []map[string]string
 	scan := bufio.NewScanner(bytes.NewReader(text))
 	scan.Buffer(nil, len(text)+1)
 	for scan.Scan() {
-		// Whoever collects logs may have put something before each line.
+		// A log collector may have put something before each line.
 		_, line, ok := strings.Cut(scan.Text(), "time=")
 		if !ok {
 			continue
@@ -54,18 +53,18 @@
 		kv := fields("time=" + line)
 		switch {
 		case kv["msg"] == "serving" && kv["node"] != "":
-			began = true
-		case !began:
+			started = true
+		case !started:
 			return ErrNotControllerLog
 		case kv["msg"] == LogMessage:
-			said = true
+			counted = true
 			lines = append(lines, kv)
 		}
 	}
 	switch {
-	case !began:
+	case !started:
 		return ErrNotControllerLog
-	case !said:
+	case !counted:
 		return ErrNoCounts
 	}
 	var one Summary
@@ -78,7 +77,7 @@
 	return nil
 }
 
-// line adds one line.
+// addLine adds one log line.
 func (s *Summary) addLine(kv map[string]string) error {
 	g := Group{Team, kv[Team]}
 	if g.Name == "" {
@@ -115,6 +114,7 @@
 	return nil
 }
 
+// merge adds another summary.
 func (s *Summary) merge(d *Summary) {
 	if s.counts == nil {
 		s.counts, s.sizes, s.longestWaits = map[Group]*Counts{}, map[Group]map[int]*Counts{}, map[Group]time.Duration{}
@@ -137,13 +137,13 @@
 	}
 }
 
-// Row is what was served of a group.
+// Row reports what was served of a group.
 type Row struct {
 	Kind string `json:"kind"`
 	Name string `json:"name"`
 	Counts
-	Share   float64 `json:"share"`    // begun, of those accepted and not cancelled before
-	OldestS float64 `json:"oldest_s"` // longest wait seen of a job that had not begun
+	Share   float64 `json:"share"`    // started, of those accepted and not cancelled before
+	OldestS float64 `json:"oldest_s"` // longest wait logged of a job that had not started
 	// Of a class: the largest jobs, a tenth of all or a little more.
 	Largest      int     `json:"largest,omitempty"`
 	LargestShare float64 `json:"largest_share,omitempty"`
@@ -151,13 +151,16 @@
 	Failed       string  `json:"failed,omitempty"` // why the day fails with it
 }
 
-// Rows lists all groups, teams first.
+// minServed is the part of a group that has to be served for the day not to fail.
+const minServed = 0.5
+
+// Rows returns a row for each group, teams first.
 func (s *Summary) Rows() []Row {
 	var out []Row
 	for _, g := range slices.SortedFunc(maps.Keys(s.counts), func(a, b Group) int { return -a.compare(b) }) {
 		c := *s.counts[g]
 		row := Row{Kind: g.Kind, Name: g.Name, Counts: c, Share: share(c), OldestS: s.longestWaits[g].Seconds()}
-		if row.Share < 0.5 {
+		if row.Share < minServed {
 			row.Failed = "less than half was served"
 		}
 		if len(s.sizes[g]) > 0 {
@@ -175,7 +178,7 @@
 	return out
 }
 
-// share is the part of the jobs that began, of those that were to.
+// share returns the part of the jobs that started, of those that were to.
 func share(c Counts) float64 {
 	if due := c.Accepted - c.CancelledUnstarted; due > 0 {
 		return min(1, float64(c.Started)/float64(due))
@@ -183,7 +186,8 @@
 	return 1
 }
 
-// largest sums the buckets from above until they hold a tenth of the class.
+// largest sums up the largest jobs of a class: the highest buckets that together hold at
+// least a tenth of its jobs.
 func (s *Summary) largest(g Group) Counts {
 	var top Counts
 	buckets := slices.Sorted(maps.Keys(s.sizes[g]))
@@ -197,7 +201,7 @@
 	return top
 }
 
-// fields reads the pairs of a line that log/slog's text handler wrote.
+// fields parses a line written by the text handler of log/slog.
 func fields(line string) map[string]string {
 	out := map[string]string{}
 	for line != "" {
--- a/internal/core/servicereport/servicereport.go
+++ b/internal/core/servicereport/servicereport.go
@@ -1,10 +1,10 @@
 // Package servicereport counts what becomes of jobs, by team, by class and by size
 // within a class, and adds up what controllers have logged of it.
 //
-// A controller counts what it does itself: submissions it stores, jobs of which
-// it starts the first task, ends it stores. So the sums over the logs of all
-// controllers are those of the cluster. What a process has not logged when it is
-// killed, up to Every, is lost to the sums.
+// A controller counts what it does itself: submissions that it stores, jobs of which it
+// starts the first task, ends that it stores. So the sums over the logs of all controllers
+// are those of the cluster. What a process has not logged when it is killed, up to
+// LogInterval, is missing from the sums.
 package servicereport
 
 import (
@@ -26,8 +26,8 @@
 	LogInterval = time.Minute
 	// LogMessage is the message of such a line.
 	LogMessage = "served"
-	// LateAfter is how long users expect even the largest jobs to wait at most
-	// until they begin.
+	// LateAfter is the longest that users expect even the largest jobs to wait until
+	// their first task starts.
 	LateAfter = 4 * time.Minute
 )
 
@@ -42,6 +42,7 @@
 	CancelledUnstarted int `json:"unbegun"`   // cancelled before a first task started
 }
 
+// add adds other counts.
 func (c *Counts) add(d Counts) {
 	c.Submitted += d.Submitted
 	c.Accepted += d.Accepted
@@ -52,13 +53,13 @@
 	c.CancelledUnstarted += d.CancelledUnstarted
 }
 
-// Waiting is what waits at a moment.
+// Waiting describes the jobs that wait at one time.
 type Waiting struct {
 	Jobs        int           // with tasks that wait
-	LongestWait time.Duration // longest wait of one that has not begun
+	LongestWait time.Duration // of a job without a started task
 }
 
-// Group names what is counted together: a team, or a class.
+// Group is what is counted together: a team, or a class of jobs.
 type Group struct{ Kind, Name string }
 
 // The kinds of groups.
@@ -67,8 +68,8 @@
 	Class = "class"
 )
 
-// Tally are the counts of one controller since it last logged them. Its zero
-// value is ready.
+// Tally counts what one controller does, from one log line to the next. The zero value is
+// ready to use.
 type Tally struct {
 	counts  map[Group]*Counts
 	sizes   map[Group]map[int]*Counts // of classes, by bucket
@@ -78,6 +79,8 @@
 // bucket is the size of a job as a power of two: 7 for 64 to 127 tasks.
 func bucket(tasks int) int { return bits.Len(uint(max(0, tasks))) }
 
+// forEach applies f to the counts of each group that a job is in, and to those of its
+// class and size.
 func (t *Tally) forEach(j *wire.Job, f func(c *Counts)) {
 	if t.counts == nil {
 		t.counts, t.sizes = map[Group]*Counts{}, map[Group]map[int]*Counts{}
@@ -115,20 +118,20 @@
 }
 
 // Ended counts a job whose end is stored.
-func (t *Tally) Ended(j *wire.Job, cancelled, begun bool) {
+func (t *Tally) Ended(j *wire.Job, cancelled, started bool) {
 	t.forEach(j, func(c *Counts) {
 		c.Ended++
 		if cancelled {
 			c.Cancelled++
-			if !begun {
+			if !started {
 				c.CancelledUnstarted++
 			}
 		}
 	})
 }
 
-// Log logs the counts when that is due, a line a group, and begins anew. waiting
-// is asked only then.
+// Log logs the counts when that is due, a line for each group, and starts to count anew.
+// waiting is called only then.
 func (t *Tally) Log(now time.Time, log *slog.Logger, waiting func() map[Group]Waiting) {
 	if t.nextLog.IsZero() {
 		t.nextLog = now.Add(LogInterval)
@@ -137,12 +140,12 @@
 		return
 	}
 	t.nextLog = now.Add(LogInterval)
-	waits := waiting()
+	waitingNow := waiting()
 	groups := map[Group]bool{}
 	for g := range t.counts {
 		groups[g] = true
 	}
-	for g := range waits {
+	for g := range waitingNow {
 		groups[g] = true
 	}
 	for _, g := range slices.SortedFunc(maps.Keys(groups), Group.compare) {
@@ -150,7 +153,7 @@
 		if t.counts[g] != nil {
 			c = *t.counts[g]
 		}
-		w := waits[g]
+		w := waitingNow[g]
 		args := []any{g.Kind, g.Name, "came", c.Submitted, "accepted", c.Accepted, "begun", c.Started, "late", c.StartedLate,
 			"ended", c.Ended, "cancelled", c.Cancelled, "unbegun", c.CancelledUnstarted,
 			"waits", w.Jobs, "oldest", w.LongestWait.Round(time.Second)}
@@ -162,12 +165,13 @@
 	t.counts, t.sizes = nil, nil
 }
 
+// compare orders groups by kind, then name.
 func (g Group) compare(h Group) int {
 	return cmp.Or(strings.Compare(g.Kind, h.Kind), strings.Compare(g.Name, h.Name))
 }
 
-// formatSizes writes accepted, begun, late and cancelled before they began, by
-// bucket: "3:4/4/0/0,7:1/0/0/0".
+// formatSizes writes, by bucket, how many were accepted, started, started late and
+// cancelled before they started: "3:4/4/0/0,7:1/0/0/0".
 func formatSizes(sizes map[int]*Counts) string {
 	var parts []string
 	for _, b := range slices.Sorted(maps.Keys(sizes)) {
@@ -177,6 +181,7 @@
 	return strings.Join(parts, ",")
 }
 
+// parseSizes reads what formatSizes has written.
 func parseSizes(text string) (map[int]Counts, error) {
 	out := map[int]Counts{}
 	for part := range strings.SplitSeq(text, ",") {
