--- a/internal/core/controller/controller.go
+++ b/internal/core/controller/controller.go
@@ -97,7 +97,7 @@
 // begin makes the core that of a process that knows nothing yet.
 func (c *Core) begin(view *cluster.View, log *slog.Logger, incarnation uint64) {
 	c.view, c.log, c.hold, c.ended = view, log, blocklease.New(incarnation, view.Params.LeaseDuration), map[string]wire.EndRecord{}
-	c.book.PreLevels = !view.Params.Levels.KnowsLevels()
+	c.book.FormsBeforeLevels = !view.Params.Levels.KnowsLevels()
 	c.own = owner.New(&c.loop, c.view, c.hold, c, log)
 }
 
--- a/internal/core/leasevalue/leasevalue_test.go
+++ b/internal/core/leasevalue/leasevalue_test.go
@@ -63,7 +63,7 @@
 	norm := func(r *wire.LeaseRecord) map[string][]string {
 		out := map[string][]string{}
 		for node, blk := range r.Blocks {
-			for kind, names := range sets(&blk) {
+			for kind, names := range blockSets(&blk) {
 				out[fmt.Sprint(node, kind)] = append([]string{}, *names...)
 			}
 		}
@@ -173,7 +173,7 @@
 				}
 			case 3, 4:
 				share := r.IntN(100)
-				for _, set := range sets(&blk)[:2] {
+				for _, set := range blockSets(&blk)[:2] {
 					*set = slices.DeleteFunc(slices.Clone(*set), func(n string) bool { return r.IntN(100) < share && budget.RemoveMachine(n) })
 				}
 				blk.Draining = nil
@@ -336,7 +336,7 @@
 		rec = &got
 		rec.Sequence++
 	}
-	if _, err := (&PageTable{PreLevels: true}).Read(s.values[Key]); !errors.As(err, new(wire.FormError)) {
+	if _, err := (&PageTable{FormsBeforeLevels: true}).Read(s.values[Key]); !errors.As(err, new(wire.FormError)) {
 		t.Errorf("from before levels: %v", err)
 	}
 }
