--- a/internal/core/controller/clear.go
+++ b/internal/core/controller/clear.go
@@ -34,7 +34,7 @@
 	f.FreshnessRequest, f.CancelledRevision = c.asks, c.cancelled
 	for _, name := range cluster.SortedKeys(c.view.Peers) {
 		if p := c.view.Peers[name]; p.FreshnessRequest > 0 {
-			f.FreshnessReplies = append(f.FreshnessReplies, &peerpb.FreshnessReply{To: name, Process: p.Incarnation, Request: p.FreshnessRequest})
+			f.FreshnessReplies = append(f.FreshnessReplies, &peerpb.FreshnessReply{To: name, Incarnation: p.Incarnation, Request: p.FreshnessRequest})
 		}
 	}
 }
@@ -49,7 +49,7 @@
 		return
 	}
 	for _, e := range f.GetFreshnessReplies() {
-		if e.GetTo() != c.view.Self || e.GetProcess() != c.hold.Incarnation() || e.GetRequest() > c.asks || e.GetRequest()+asksKept <= c.asks {
+		if e.GetTo() != c.view.Self || e.GetIncarnation() != c.hold.Incarnation() || e.GetRequest() > c.asks || e.GetRequest()+asksKept <= c.asks {
 			continue
 		}
 		if at := c.askedAt[e.GetRequest()%asksKept]; at.After(p.CancellationsKnownUntil) {
--- a/internal/core/controller/meeting_test.go
+++ b/internal/core/controller/meeting_test.go
@@ -230,7 +230,7 @@
 		"a frame of nobody":                {eventloop.PeerFrame{Frame: &peerpb.Frame{From: "n9"}}, eventloop.NoReply, eventloop.NoReply},
 		"a frame with names that are none": {eventloop.PeerFrame{Frame: &peerpb.Frame{From: "n1", Renewal: &peerpb.Renewal{Node: "n1", Incarnation: 9, Number: 7, Released: "?", SilentMachines: "?", Reconciled: "?", UnknownEndpoints: "?"}}}, eventloop.NoReply, eventloop.NoReply},
 		"a frame with a view that is none": {eventloop.PeerFrame{Frame: &peerpb.Frame{From: "n1", RecoveryView: []byte{0xc1}}}, eventloop.NoReply, eventloop.NoReply},
-		"an echo that nobody asked for":    {eventloop.PeerFrame{Frame: &peerpb.Frame{From: "n1", CancelledRevision: 1, FreshnessRequest: 1 << 60, FreshnessReplies: []*peerpb.FreshnessReply{{To: "n0", Process: 7, Request: 1 << 60}}}}, eventloop.NoReply, eventloop.NoReply},
+		"an echo that nobody asked for":    {eventloop.PeerFrame{Frame: &peerpb.Frame{From: "n1", CancelledRevision: 1, FreshnessRequest: 1 << 60, FreshnessReplies: []*peerpb.FreshnessReply{{To: "n0", Incarnation: 7, Request: 1 << 60}}}}, eventloop.NoReply, eventloop.NoReply},
 		"an answer to no call":             {eventloop.Completion{ID: 1 << 40, Outcome: eventloop.Succeeded, Heartbeat: &wire.Heartbeat{}}, eventloop.NoReply, eventloop.NoReply},
 		"a stored job that cannot be read": {put(jobPrefix+"wk-000009", []byte{0xc1}), eventloop.NoReply, eventloop.NoReply},
 		"a stored job under another's key": {put(jobPrefix+"wk-000009", raw(wire.JobRecord{Job: wire.Job{ID: "wk-000008"}})), eventloop.NoReply, eventloop.NoReply},
@@ -302,7 +302,7 @@
 		"just started":                    {func(f *peerpb.Frame) { f.CancelledRevision = 0 }, true, false},
 		"state of another generation":     {func(f *peerpb.Frame) { f.Generation = 2 }, true, false},
 		"has found that data is lost":     {func(f *peerpb.Frame) { f.StateLost = true }, true, false},
-		"answers an earlier process":      {func(f *peerpb.Frame) { f.FreshnessReplies[0].Process-- }, true, false},
+		"answers an earlier process":      {func(f *peerpb.Frame) { f.FreshnessReplies[0].Incarnation-- }, true, false},
 		"answers somebody else":           {func(f *peerpb.Frame) { f.FreshnessReplies[0].To = "n3" }, true, false},
 		"answers what was asked long ago": {func(f *peerpb.Frame) { f.FreshnessReplies[0].Request -= asksKept }, true, false},
 		"answers what was never asked":    {func(f *peerpb.Frame) { f.FreshnessReplies[0].Request++ }, true, false},
@@ -329,7 +329,7 @@
 			if from == "n2" && !c.all {
 				continue
 			}
-			f := &peerpb.Frame{From: from, Incarnation: 9, Generation: 1, CancelledRevision: 7, FreshnessReplies: []*peerpb.FreshnessReply{{To: "n0", Process: 7, Request: ask}}}
+			f := &peerpb.Frame{From: from, Incarnation: 9, Generation: 1, CancelledRevision: 7, FreshnessReplies: []*peerpb.FreshnessReply{{To: "n0", Incarnation: 7, Request: ask}}}
 			c.change(f)
 			core.Step(now.Add(5*time.Second), eventloop.PeerFrame{Frame: f})
 		}
--- a/internal/core/leader/load.go
+++ b/internal/core/leader/load.go
@@ -63,7 +63,7 @@
 	for _, renewal := range l.renewals {
 		busy += renewal.GetBusySpotCpus()
 		for _, demand := range renewal.GetDemand() {
-			overdue = overdue || demand.GetStarved()
+			overdue = overdue || demand.GetOverdue()
 		}
 		for _, use := range renewal.GetMachineUse() {
 			if use.GetDeparting() {
--- a/internal/core/leader/renewals.go
+++ b/internal/core/leader/renewals.go
@@ -115,7 +115,7 @@
 			Count:        int(d.GetCount()),
 			RunS:         max(1, d.GetRunS()),
 			ProvisionAll: d.GetProvisionAll(),
-			Overdue:      d.GetStarved(),
+			Overdue:      d.GetOverdue(),
 			SlackS:       d.GetSlackS(),
 		})
 	}
--- a/internal/core/owner/tell.go
+++ b/internal/core/owner/tell.go
@@ -110,7 +110,7 @@
 		}
 		out = append(out, &peerpb.Demand{Rank: int32(d.Rank), Cpus: d.Need.CPUs, Gpus: d.Need.GPUs,
 			MemoryGb: d.Need.MemoryGB, Types: d.Types, Zone: d.Zone, Spot: d.Spot,
-			Count: int32(d.Count), RunS: d.RunS, ProvisionAll: d.ProvisionAll, Starved: d.Overdue, SlackS: d.SlackS})
+			Count: int32(d.Count), RunS: d.RunS, ProvisionAll: d.ProvisionAll, Overdue: d.Overdue, SlackS: d.SlackS})
 	}
 	return out
 }
--- a/internal/wire/envelope.go
+++ b/internal/wire/envelope.go
@@ -9,32 +9,33 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// Fields holds fields of a stored value that this version does not know. Who
-// rewrites the value writes them again, as they were.
+// Fields holds fields of a stored value that this version does not know. They are written
+// again, as they were, when the value is rewritten.
 type Fields map[string]msgpack.RawMessage
 
 // EnvelopeForm is the newest form of envelopes and of what is in them.
 const EnvelopeForm = 1
 
-// FormError says that a stored value is in a form that this version does not
-// know. Such a value is left as it is, and nothing is concluded from it.
+// FormError reports that a stored value is in a form that this version does not know. Such
+// a value is left as it is, and nothing is concluded from it.
 type FormError struct {
 	What string
 	Form int
 }
 
+// Error names the value and its form.
 func (e FormError) Error() string {
 	return fmt.Sprintf("%s: form %d is unknown to this version", e.What, e.Form)
 }
 
-// Envelope is what stored records stand in: their form, and the generation of
-// the state that they belong to.
+// Envelope wraps stored records: it holds their form, and the generation of the state that
+// they belong to.
 type Envelope struct {
 	Form       int    `msgpack:"f"`
 	Generation uint64 `msgpack:"g"`
 	// FirstVersion is the version under which the record was first stored, if it has
-	// been rewritten since; 0: it has not. A record's age tells whether an
-	// earlier owner may have started its tasks, so a rewrite must not hide it.
+	// been rewritten since; 0: it has not. From a record's age follows whether an earlier
+	// owner may have started its tasks, so a rewrite must not hide it.
 	FirstVersion uint64             `msgpack:"b,omitempty"`
 	Value        msgpack.RawMessage `msgpack:"v"`
 	Unknown      Fields             `msgpack:"-"`
--- a/internal/wire/state.go
+++ b/internal/wire/state.go
@@ -52,7 +52,7 @@
 	return enc.Encode(o.Value)
 }
 
-// IsAbsent tells whether a stored value is not there: earlier versions put empty maps
+// IsAbsent reports whether a stored value is not there: earlier versions put empty maps
 // without one.
 func IsAbsent(value msgpack.RawMessage) bool {
 	return len(value) == 0 || (len(value) == 1 && value[0] == msgpcode.Nil)
@@ -84,11 +84,11 @@
 	Log      []Change `msgpack:"log"`
 }
 
-// JobRecord is the stored form of a job that is not over.
+// JobRecord is the stored form of a job that has not ended.
 type JobRecord struct {
 	Job   `msgpack:",inline"`
 	Owner string `msgpack:"owner"`
-	// Shard is set when the jobs of its team are parted over controllers.
+	// Shard is the shard of its team that the job is in; empty: the team is not sharded.
 	Shard string `msgpack:"part,omitempty"`
 	// SubmittedAtMs is the time of day of the submission, in milliseconds.
 	SubmittedAtMs int64 `msgpack:"at_ms"`
@@ -96,75 +96,80 @@
 	Unknown Fields `msgpack:"-"`
 }
 
-// EndRecord is the stored form of a job that is over.
+// EndRecord is the stored form of a job that has ended.
 type EndRecord struct {
-	// Form is absent in what earlier versions store.
+	// Form is absent in what versions before feature levels store.
 	Form  int    `msgpack:"f,omitempty"`
 	State string `msgpack:"stanje"`
 	Tasks int    `msgpack:"komadi"`
 	Done  int    `msgpack:"done"`
 }
 
-// LeaseRecord is the one value that holds leadership and all block leases.
+// LeaseRecord is the one value that holds leadership, all block leases and partitions.
 type LeaseRecord struct {
-	Term        uint64            `msgpack:"term"`
-	Leader      string            `msgpack:"leader"`
-	Incarnation uint64            `msgpack:"inc"`
-	LastGrant   uint64            `msgpack:"grants"`
-	Sequence    uint64            `msgpack:"beat"`
-	Blocks      map[string]Block  `msgpack:"blocks"`
-	Partitions  map[string]string `msgpack:"homes"`
-	// Waiting is the sum of waiting tasks per machine kind.
+	Term        uint64 `msgpack:"term"`
+	Leader      string `msgpack:"leader"`
+	Incarnation uint64 `msgpack:"inc"` // of the leader's process
+	// LastGrant is the highest grant given to a block.
+	LastGrant uint64 `msgpack:"grants"`
+	// Sequence counts the writes of the value.
+	Sequence uint64           `msgpack:"beat"`
+	Blocks   map[string]Block `msgpack:"blocks"` // by controller
+	// Partitions names the controller of each partition.
+	Partitions map[string]string `msgpack:"homes"`
+	// Waiting is the number of waiting tasks by machine type.
 	Waiting map[string]int `msgpack:"waiting"`
-	// Form and Shares are stored by package leasevalue only: they are unknown
-	// to form 1, the only one of earlier versions.
+	// Form and Shares are stored by package leasevalue only: they are unknown to form 1,
+	// the only one of the earliest versions. Shares are the quota shares by team.
 	Form   int               `msgpack:"-"`
 	Shares map[string]Shares `msgpack:"-"`
-	// Level and Confirmed are the levels of package feature, and Generation counts
-	// how often the state has been built anew. Form 3 has them.
+	// Level and Confirmed are the feature levels of package feature, and Generation
+	// counts how often the state has been recovered. Form 3 has them.
 	Level, Confirmed uint32 `msgpack:"-"`
 	Generation       uint64 `msgpack:"-"`
 	// Unknown are fields of a newer version.
 	Unknown Fields `msgpack:"-"`
 }
 
-// EndForm is the newest form of the records of jobs that are over.
+// EndForm is the newest form of the records of jobs that have ended.
 const EndForm = 1
 
-// ControllerRecord is what a controller's process stores of itself, for the
-// leader and for whoever operates the cluster.
+// ControllerForm is the newest form of controllers' records and of the operator's request.
+const ControllerForm = 1
+
+// ControllerRecord is what a controller's process stores of itself, for the leader and for
+// the operators.
 type ControllerRecord struct {
 	Form        int    `msgpack:"f"`
 	Incarnation uint64 `msgpack:"inc"`
 	Version     string `msgpack:"version"`
-	OldestLevel uint32 `msgpack:"oldest"` // levels it can work under
+	// OldestLevel and NewestLevel are the feature levels that it can work under, and
+	// SeenLevel the one that it has read.
+	OldestLevel uint32 `msgpack:"oldest"`
 	NewestLevel uint32 `msgpack:"newest"`
-	SeenLevel   uint32 `msgpack:"seen"`  // level it has read
-	Ready       bool   `msgpack:"ready"` // serves users
-	// UnreconciledMachines is how many machines of its block may run tasks that it does not
-	// know of.
+	SeenLevel   uint32 `msgpack:"seen"`
+	// Ready says that it serves users.
+	Ready bool `msgpack:"ready"`
+	// UnreconciledMachines is how many machines of its block may run tasks that it does
+	// not know.
 	UnreconciledMachines int `msgpack:"unheard"`
-	// OutdatedRecords is how many records of its homes are still in an earlier form.
+	// OutdatedRecords is how many records of its partitions are in an earlier form.
 	OutdatedRecords int `msgpack:"left"`
-	// LevelBlockers is what keeps the level from being raised, told by who leads.
+	// LevelBlockers is what keeps the level from being raised, as the leader sees it.
 	LevelBlockers []string `msgpack:"waits,omitempty"`
 	UpdatedAtMs   int64    `msgpack:"at_ms"`
 }
 
-// ControllerForm is the newest form of controllers' records and of the
-// operator's word.
-const ControllerForm = 1
-
 // OperatorRequest is what the operator has asked for.
 type OperatorRequest struct {
 	Form        int    `msgpack:"f"`
 	TargetLevel uint32 `msgpack:"level"` // to be raised to; 0: none
-	HoldLevel   bool   `msgpack:"hold"`  // no raise without a word
+	HoldLevel   bool   `msgpack:"hold"`  // no raise without a request
 	UpdatedAtMs int64  `msgpack:"at_ms"`
 }
 
-// Clone returns a copy whose blocks, homes and shares can be changed; the sets
-// of machines in the blocks are shared and must be replaced.
+// Clone returns a copy whose blocks, partitions and shares can be changed; the sets of
+// machines in the blocks are shared and must be replaced, not changed.
 func (r *LeaseRecord) Clone() LeaseRecord {
 	out := *r
 	out.Blocks = maps.Clone(r.Blocks)
@@ -184,40 +189,48 @@
 	return out
 }
 
-// partMark parts a team's name from the number of a part.
-const partMark = " #"
+// shardSeparator separates a team's name from the number of a shard.
+const shardSeparator = " #"
 
-// ShardName names part k of a team's jobs.
-func ShardName(team string, k int) string { return team + partMark + strconv.Itoa(k) }
+// ShardName returns the name of shard k of a team's jobs.
+func ShardName(team string, k int) string { return team + shardSeparator + strconv.Itoa(k) }
 
-// SplitShard takes the name of a home apart: the team, and the part of its jobs if
-// it is one.
-func SplitShard(home string) (team, part string, isPart bool) { return strings.Cut(home, partMark) }
+// SplitShard splits the name of a partition: the team, and the number of the shard of its
+// jobs if it is one.
+func SplitShard(partition string) (team, shard string, isShard bool) {
+	return strings.Cut(partition, shardSeparator)
+}
 
-// IsPartitionOf tells whether a home is that of the team's jobs, or of a part of them.
-func IsPartitionOf(home, team string) bool { return home == team || IsShardOf(home, team) }
+// IsPartitionOf reports whether a partition is that of the team's jobs, or a shard of them.
+func IsPartitionOf(partition, team string) bool {
+	return partition == team || IsShardOf(partition, team)
+}
 
-// IsShardOf tells whether a home is that of a part of the team's jobs.
-func IsShardOf(home, team string) bool { return strings.HasPrefix(home, team+partMark) }
+// IsShardOf reports whether a partition is a shard of the team's jobs.
+func IsShardOf(partition, team string) bool {
+	return strings.HasPrefix(partition, team+shardSeparator)
+}
 
-// Shares are the parts of a team's limit by controller.
+// Shares are a team's quota shares by controller.
 type Shares map[string]Share
 
-// Share is what the tasks of a team may use on one controller's machines, in
-// whole processors and cards.
+// Share is what the tasks of a team may use on one controller's machines, in whole
+// processors and GPUs.
 type Share struct {
 	CPUs int `msgpack:"CPUs"`
 	GPUs int `msgpack:"Cards"`
 }
 
-// Block is what one controller holds. Old machines came to it from a holder
-// that ended without giving them up, so they may run tasks it knows nothing of.
+// Block is a controller's block lease.
 type Block struct {
-	Grant        uint64  `msgpack:"grant"`
-	Incarnation  uint64  `msgpack:"inc"`
-	Renewal      uint64  `msgpack:"renewal"`
-	Machines     NameSet `msgpack:"machines"`
+	Grant       uint64 `msgpack:"grant"`
+	Incarnation uint64 `msgpack:"inc"`
+	// Renewal is the newest renewal that the value acknowledges.
+	Renewal  uint64  `msgpack:"renewal"`
+	Machines NameSet `msgpack:"machines"`
+	// Unreconciled machines came from a holder that ended without releasing them, so
+	// they may run tasks that this one does not know.
 	Unreconciled NameSet `msgpack:"old"`
-	// Draining names machines the leader wants back once they are empty.
+	// Draining names machines that the leader wants released once they are empty.
 	Draining NameSet `msgpack:"recall,omitempty"`
 }
--- a/internal/wire/users.go
+++ b/internal/wire/users.go
@@ -15,19 +15,20 @@
 // MaxTasks is the largest number of tasks a job may have.
 const MaxTasks = 100_000
 
-// Shape is the form of a job.
+// Shape says how the tasks of a job belong together.
 type Shape string
 
-// The shapes users may ask for. The protocol's text speaks of arrays and
-// daemons, but its aims and settings also know gangs, whose tasks run all at
-// once; platforms send them as "group".
+// The shapes of jobs.
 const (
-	Array  Shape = "array"
+	// Array: independent tasks, each runs to completion.
+	Array Shape = "array"
+	// Daemon: replicas that run until the job is cancelled.
 	Daemon Shape = "daemon"
-	Group  Shape = "group"
+	// Group: a gang, whose tasks run all at once.
+	Group Shape = "group"
 )
 
-// The priorities users may ask for, highest first.
+// priorities are those that users may ask for, highest first.
 var priorities = [...]string{"production", "urgent", "standard", "idle"}
 
 // Job is a submission. The same map, extended by the fields of JobRecord, is
@@ -55,7 +56,8 @@
 	DeadlineS   *float64 `msgpack:"rokS"`
 }
 
-// Rank orders priorities: 0 is the highest.
+// Rank returns the place of the job's priority, 0 for the highest; an unknown one comes
+// after all others.
 func (j *Job) Rank() int {
 	for i, p := range priorities {
 		if p == j.Priority {
@@ -65,7 +67,7 @@
 	return len(priorities)
 }
 
-// ValidJobID tells whether id has the form of a job id.
+// ValidJobID reports whether id has the form of a job id.
 func ValidJobID(id string) bool {
 	if len(id) < 9 || len(id) > 21 || id[:3] != "wk-" {
 		return false
@@ -78,29 +80,51 @@
 	return true
 }
 
-// ParseJob reads a submission. When the body holds a valid id the job carries
-// it even if another field is wrong, since a known id is answered whatever the
-// rest says.
+// Errors of a submission that is not one map; see also FieldError.
+var (
+	ErrNotMap         = errors.New("not a map with text keys")
+	ErrMoreThanOneMap = errors.New("more than one value")
+)
+
+// FieldError reports that a field of a submission is missing or invalid. Field is its name
+// on the wire.
+type FieldError struct{ Field string }
+
+// Error names the field.
+func (e FieldError) Error() string { return "field " + e.Field + " is missing or invalid" }
+
+// ParseJob reads a submission. The error is a FieldError, one of the errors above, or what
+// is wrong with the encoding. When the body holds a valid id the job has it even if another
+// field is wrong, since a known id is answered whatever the rest says.
 func ParseJob(body []byte) (Job, error) {
 	var j Job
-	dec := msgpack.NewDecoder(bytes.NewReader(body))
-	v, err := dec.DecodeInterface()
+	decoder := msgpack.NewDecoder(bytes.NewReader(body))
+	value, err := decoder.DecodeInterface()
 	if err != nil {
 		return j, fmt.Errorf("not MessagePack: %w", err)
 	}
-	m, ok := v.(map[string]any)
+	values, ok := value.(map[string]any)
 	if !ok {
-		return j, errors.New("not a map with text keys")
+		return j, ErrNotMap
 	}
-	f := fields{m: m}
+	f := fields{values: values}
 	if id := f.text("uid"); ValidJobID(id) {
 		j.ID = id
 	} else {
 		f.fail("uid")
 	}
-	if _, err := dec.PeekCode(); err == nil {
-		return j, errors.New("more than one value")
+	if _, err := decoder.PeekCode(); err == nil {
+		return j, ErrMoreThanOneMap
 	}
+	f.parseKind(&j)
+	f.parseNeeds(&j)
+	f.parsePlacement(&j)
+	f.parseTimes(&j)
+	return j, f.err
+}
+
+// parseKind reads what job it is and how many tasks it has.
+func (f *fields) parseKind(j *Job) {
 	j.Class = f.text("vrstaPosla")
 	j.Team = f.text("vlasnik")
 	j.Shape = Shape(f.text("oblik"))
@@ -116,11 +140,19 @@
 	} else {
 		f.fail("komadi")
 	}
+}
+
+// parseNeeds reads what each task takes of its machine.
+func (f *fields) parseNeeds(j *Job) {
 	j.CPUs = f.amount("vcpus")
 	j.GPUs = f.amount("cards")
 	j.MemoryGB = f.amount("memoryGb")
 	j.Image = f.text("otisak")
 	j.ImageGB = f.amount("pullGb")
+}
+
+// parsePlacement reads where the tasks may run.
+func (f *fields) parsePlacement(j *Job) {
 	j.Types = f.texts("kalupi")
 	if f.present("dvoriste") {
 		if j.Zone = f.text("dvoriste"); j.Zone == "" {
@@ -130,33 +162,38 @@
 	j.SamePlace = f.flag("samePlace")
 	j.Scatter = f.flag("scatter")
 	j.Spot = f.flag("posudba")
+}
+
+// parseTimes reads how long tasks run, when they save and when the job should be done.
+func (f *fields) parseTimes(j *Job) {
 	j.EstimateS = f.amount("procjenaS")
 	j.CheckpointS = f.amount("biljegS")
 	j.SaveS = f.amount("spremanjeS")
 	if f.present("rokS") {
-		d := f.amount("rokS")
-		j.DeadlineS = &d
+		deadline := f.amount("rokS")
+		j.DeadlineS = &deadline
 	}
-	return j, f.err
 }
 
-// fields checks the fields of a map and keeps the first error.
+// fields reads the fields of a map and keeps the first error.
 type fields struct {
-	m   map[string]any
-	err error
+	values map[string]any
+	err    error
 }
 
+// fail records that a field is missing or invalid.
 func (f *fields) fail(name string) {
 	if f.err == nil {
-		f.err = fmt.Errorf("field %s is missing or invalid", name)
+		f.err = FieldError{name}
 	}
 }
 
-// present tells whether a field is there and not null.
-func (f *fields) present(name string) bool { return f.m[name] != nil }
+// present reports whether a field is there and not null.
+func (f *fields) present(name string) bool { return f.values[name] != nil }
 
+// text reads a text.
 func (f *fields) text(name string) string {
-	s, ok := f.m[name].(string)
+	s, ok := f.values[name].(string)
 	if !ok {
 		f.fail(name)
 	}
@@ -168,7 +205,7 @@
 	if !f.present(name) {
 		return nil
 	}
-	list, ok := f.m[name].([]any)
+	list, ok := f.values[name].([]any)
 	if !ok {
 		f.fail(name)
 		return nil
@@ -185,16 +222,18 @@
 	return out
 }
 
+// flag reads a boolean.
 func (f *fields) flag(name string) bool {
-	b, ok := f.m[name].(bool)
+	b, ok := f.values[name].(bool)
 	if !ok {
 		f.fail(name)
 	}
 	return b
 }
 
+// amount reads a number that is not negative.
 func (f *fields) amount(name string) float64 {
-	v, ok := number(f.m[name])
+	v, ok := number(f.values[name])
 	if !ok || math.IsNaN(v) || math.IsInf(v, 0) || v < 0 {
 		f.fail(name)
 		return 0
@@ -204,7 +243,7 @@
 
 // count reads a whole number. A decimal such as 4.0 is not one.
 func (f *fields) count(name string) int64 {
-	switch v := f.m[name].(type) {
+	switch v := f.values[name].(type) {
 	case float32, float64:
 		f.fail(name)
 		return 0
@@ -218,6 +257,7 @@
 	}
 }
 
+// number returns a decoded number of any type.
 func number(v any) (float64, bool) {
 	switch n := v.(type) {
 	case float32:
@@ -244,7 +284,7 @@
 	return 0, false
 }
 
-// The states a user is told.
+// The states of a job that users are told.
 const (
 	Pending   = "pending"
 	Running   = "running"
@@ -252,7 +292,8 @@
 	Cancelled = "cancelled"
 )
 
-// JobAnswer is what a user is told about a job.
+// JobAnswer is the answer to a submission, query or cancellation. Done and Running are
+// numbers of tasks, for display.
 type JobAnswer struct {
 	ID      string `msgpack:"uid"`
 	State   string `msgpack:"stanje"`
@@ -260,7 +301,7 @@
 	Running int    `msgpack:"running"`
 }
 
-// ErrorAnswer explains a refusal.
+// ErrorAnswer says why a request is refused.
 type ErrorAnswer struct {
 	Error string `msgpack:"error"`
 }
