--- a/internal/edge/cloud/cloud.go
+++ b/internal/edge/cloud/cloud.go
@@ -1,4 +1,5 @@
-// Package cloud is the client of the cloud that rents machines.
+// Package cloud is the client of the cloud that rents machines. It keeps within a part of
+// the cloud's request limit and translates answers into outcomes.
 package cloud
 
 import (
@@ -16,29 +17,31 @@
 )
 
 const (
-	callTimeout = 5 * time.Second
-	maxAnswer   = 4 << 20
-	// readPatience is the least time that an answer to a read is waited for. Reading
+	callTimeout    = 5 * time.Second
+	maxAnswerBytes = 4 << 20
+	// minReadTimeout is the shortest time that an answer to a read is waited for. Reading
 	// again is safe, so a lost answer need not hold up the list for long.
-	readPatience = time.Second
+	minReadTimeout = time.Second
 )
 
 // Cloud calls the cloud's API within its request limit.
 type Cloud struct {
-	base     string
-	client   *client.Client
-	limit    *rate.Limiter
-	patience *client.Patience // with reads
+	base        string
+	client      *client.Client
+	limit       *rate.Limiter
+	readTimeout *client.AdaptiveTimeout // with reads
 }
 
-// New returns a client for the cloud at addr that uses share of its limit.
+// New returns a client for the cloud at addr that uses a share of its limit of rps requests
+// a second.
 func New(addr string, rps, share float64) *Cloud {
-	return &Cloud{base: "http://" + addr, client: client.New(4, maxAnswer, 0),
-		patience: client.NewPatience(readPatience, callTimeout),
+	return &Cloud{base: "http://" + addr, client: client.New(4, maxAnswerBytes, 0),
+		readTimeout: client.NewAdaptiveTimeout(minReadTimeout, callTimeout),
 		// The cloud allows bursts worth two seconds.
 		limit: rate.NewLimiter(rate.Limit(rps*share), max(1, int(2*rps*share)))}
 }
 
+// do sends a request that may change something. It is never repeated.
 func (c *Cloud) do(ctx context.Context, method, path string, in, out any) (int, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -48,12 +51,12 @@
 	return c.client.Do(ctx, method, c.base+path, in, out, 200)
 }
 
-// read is do for what only reads.
+// read sends a request that only reads.
 func (c *Cloud) read(ctx context.Context, path string, out any) (int, error) {
 	if err := c.limit.Wait(ctx); err != nil {
 		return 0, fmt.Errorf("cloud budget: %w", err)
 	}
-	return c.patience.Call(ctx, func(ctx context.Context) (int, error) {
+	return c.readTimeout.Call(ctx, func(ctx context.Context) (int, error) {
 		return c.client.Do(ctx, "GET", c.base+path, nil, out, 200)
 	})
 }
--- a/internal/edge/peer/peer.go
+++ b/internal/edge/peer/peer.go
@@ -1,7 +1,8 @@
-// Package peer carries protobuf frames between controllers over TCP. Each
-// controller dials every other one and sends on the connection it dialled;
-// frames are preceded by their length in four bytes. The receiver answers
-// each frame with one byte, so that a sender notices when nobody reads.
+// Package peer carries protobuf frames between controllers over TCP. Each controller dials
+// every other one and sends on the connection that it dialled. A frame is preceded by its
+// length in four bytes, and the receiver acknowledges it with one byte, so that a sender
+// notices when nobody reads. Frames may be lost or repeated by their senders; the package
+// promises neither delivery nor order across connections.
 package peer
 
 import (
@@ -22,19 +23,19 @@
 )
 
 const (
-	maxFrame    = 1 << 20
-	dialTimeout = 1 * time.Second
-	ioTimeout   = 3 * time.Second
+	maxFrameBytes = 1 << 20
+	dialTimeout   = 1 * time.Second
+	ioTimeout     = 3 * time.Second
 	// idleTimeout ends inbound connections that a dead peer left behind.
 	idleTimeout = 15 * time.Second
 	retryAfter  = 300 * time.Millisecond
-	// ackTimeout is how long a frame may stay unanswered before the connection
-	// counts as dead. A cut that holds packets back can leave a connection
-	// that takes writes for ever while its other end is long closed.
+	// ackTimeout is how long a frame may stay unacknowledged before the connection
+	// counts as dead. A network cut that holds packets back can leave a connection that
+	// accepts writes for ever while its other end is long closed.
 	ackTimeout = 3 * time.Second
 )
 
-// ack is what the receiver answers each frame with.
+// ack is the byte that acknowledges a frame.
 const ack = 0x06
 
 // Write writes one frame.
@@ -43,7 +44,7 @@
 	if err != nil {
 		return fmt.Errorf("peer frame: %w", err)
 	}
-	if len(b) > maxFrame {
+	if len(b) > maxFrameBytes {
 		return fmt.Errorf("peer frame: %d bytes", len(b))
 	}
 	b = append(binary.BigEndian.AppendUint32(make([]byte, 0, len(b)+4), uint32(len(b))), b...)
@@ -58,7 +59,7 @@
 		return nil, err
 	}
 	n := binary.BigEndian.Uint32(head[:])
-	if n > maxFrame {
+	if n > maxFrameBytes {
 		return nil, errors.New("peer frame too large")
 	}
 	b := make([]byte, n)
@@ -72,7 +73,7 @@
 	return f, nil
 }
 
-// Serve accepts connections from peers until ctx ends and hands each frame on.
+// Serve accepts connections from peers until ctx ends and passes each frame to handle.
 func Serve(ctx context.Context, l net.Listener, log *slog.Logger, handle func(*peerpb.Frame)) {
 	context.AfterFunc(ctx, func() { l.Close() })
 	for {
@@ -91,40 +92,46 @@
 		}
 		go func() {
 			defer conn.Close()
-			r := bufio.NewReaderSize(conn, 2<<10)
-			for ctx.Err() == nil {
-				conn.SetReadDeadline(time.Now().Add(idleTimeout))
-				f, err := Read(r)
-				if err != nil {
-					log.Debug("peer connection ended", "err", err)
-					return
-				}
-				conn.SetWriteDeadline(time.Now().Add(ioTimeout))
-				if _, err := conn.Write([]byte{ack}); err != nil {
-					log.Debug("peer connection ended", "err", err)
-					return
-				}
-				handle(f)
+			if err := receive(ctx, conn, handle); err != nil {
+				log.Debug("peer connection ended", "err", err)
 			}
 		}()
 	}
 }
 
+// receive reads and acknowledges the frames of one connection until it or ctx ends.
+func receive(ctx context.Context, conn net.Conn, handle func(*peerpb.Frame)) error {
+	r := bufio.NewReaderSize(conn, 2<<10)
+	for ctx.Err() == nil {
+		conn.SetReadDeadline(time.Now().Add(idleTimeout))
+		f, err := Read(r)
+		if err != nil {
+			return err
+		}
+		conn.SetWriteDeadline(time.Now().Add(ioTimeout))
+		if _, err := conn.Write([]byte{ack}); err != nil {
+			return err
+		}
+		handle(f)
+	}
+	return nil
+}
+
 // Link sends frames to one peer.
 type Link struct {
-	addr  string
-	queue chan *peerpb.Frame
+	address string
+	queue   chan *peerpb.Frame
 }
 
-// Dial returns a link to addr that connects, and reconnects, until ctx ends.
-func Dial(ctx context.Context, addr string) *Link {
-	l := &Link{addr: addr, queue: make(chan *peerpb.Frame, 32)}
+// Dial returns a link to an address that connects, and reconnects, until ctx ends.
+func Dial(ctx context.Context, address string) *Link {
+	l := &Link{address: address, queue: make(chan *peerpb.Frame, 32)}
 	go l.run(ctx)
 	return l
 }
 
-// Send queues a frame. When the peer cannot take it, it is dropped: whatever
-// matters is repeated, or reaches the others through the state service.
+// Send queues a frame. It is dropped when the queue is full: what matters is repeated, or
+// reaches the other controllers through the state service.
 func (l *Link) Send(f *peerpb.Frame) {
 	select {
 	case l.queue <- f:
@@ -132,73 +139,90 @@
 	}
 }
 
-// outbound is the connection that a link sends on.
-type outbound struct {
+// connection is one that a link sends on.
+type connection struct {
 	net.Conn
-	acked atomic.Int64 // frames answered
-	ended atomic.Bool  // the other end has closed it
-	sent  int64
-	seen  int64     // answers when it was last looked at
-	since time.Time // of the last answer, or since when any is owed
+	acks   atomic.Int64 // frames acknowledged
+	closed atomic.Bool  // by the other end
+
+	// Of the sender only.
+	sent         int64
+	lastAcks     int64     // acks when isDead was last called
+	lastProgress time.Time // of the last acknowledgement, or since when one is due
 }
 
-// listen counts answers until the connection ends.
-func (o *outbound) listen() {
-	var b [64]byte
+// countAcks counts acknowledgements until the connection ends.
+func (c *connection) countAcks() {
+	var buffer [64]byte
 	for {
-		n, err := o.Read(b[:])
-		o.acked.Add(int64(n))
+		n, err := c.Read(buffer[:])
+		c.acks.Add(int64(n))
 		if err != nil {
-			o.ended.Store(true)
+			c.closed.Store(true)
 			return
 		}
 	}
 }
 
-// dead tells whether the connection is of no use any more.
-func (o *outbound) dead(now time.Time) bool {
-	if acked := o.acked.Load(); acked >= o.sent || acked > o.seen {
-		o.seen, o.since = acked, now
+// isDead reports whether the connection is of no use any more.
+func (c *connection) isDead(now time.Time) bool {
+	if acks := c.acks.Load(); acks >= c.sent || acks > c.lastAcks {
+		c.lastAcks, c.lastProgress = acks, now
 	}
-	return o.ended.Load() || now.Sub(o.since) > ackTimeout
+	return c.closed.Load() || now.Sub(c.lastProgress) > ackTimeout
 }
 
+// send writes a frame.
+func (c *connection) send(f *peerpb.Frame) error {
+	c.sent++
+	c.SetWriteDeadline(time.Now().Add(ioTimeout))
+	return Write(c, f)
+}
+
+// run sends the queued frames until ctx ends.
 func (l *Link) run(ctx context.Context) {
-	var conn *outbound
-	drop := func() {
+	var conn *connection
+	closeConn := func() {
 		if conn != nil {
 			conn.Close()
 			conn = nil
 		}
 	}
-	defer drop()
-	var retry time.Time
+	defer closeConn()
+	var retry time.Time // no connection is tried before then
 	for {
+		var frame *peerpb.Frame
 		select {
 		case <-ctx.Done():
 			return
-		case f := <-l.queue:
-			now := time.Now()
-			if conn != nil && conn.dead(now) {
-				drop()
-			}
-			if conn == nil {
-				if now.Before(retry) {
-					continue
-				}
-				c, err := net.DialTimeout("tcp", l.addr, dialTimeout)
-				if err != nil {
-					retry = time.Now().Add(retryAfter)
-					continue
-				}
-				conn = &outbound{Conn: c, since: time.Now()}
-				go conn.listen()
+		case frame = <-l.queue:
+		}
+		now := time.Now()
+		if conn != nil && conn.isDead(now) {
+			closeConn()
+		}
+		if conn == nil {
+			if now.Before(retry) {
+				continue
 			}
-			conn.sent++
-			conn.SetWriteDeadline(time.Now().Add(ioTimeout))
-			if err := Write(conn, f); err != nil {
-				drop()
+			if conn = l.connect(); conn == nil {
+				retry = time.Now().Add(retryAfter)
+				continue
 			}
 		}
+		if err := conn.send(frame); err != nil {
+			closeConn()
+		}
+	}
+}
+
+// connect dials the peer; nil if it cannot be reached.
+func (l *Link) connect() *connection {
+	c, err := net.DialTimeout("tcp", l.address, dialTimeout)
+	if err != nil {
+		return nil
 	}
+	conn := &connection{Conn: c, lastProgress: time.Now()}
+	go conn.countAcks()
+	return conn
 }
--- a/internal/edge/peer/peer_test.go
+++ b/internal/edge/peer/peer_test.go
@@ -54,20 +54,20 @@
 	here, there := net.Pipe()
 	defer there.Close()
 	start := time.Now()
-	o := &outbound{Conn: here, since: start}
-	if o.sent = 1; o.dead(start.Add(ackTimeout)) {
+	o := &connection{Conn: here, lastProgress: start}
+	if o.sent = 1; o.isDead(start.Add(ackTimeout)) {
 		t.Error("given up before an answer can be expected")
 	}
-	if o.sent = 2; !o.dead(start.Add(ackTimeout + time.Millisecond)) {
+	if o.sent = 2; !o.isDead(start.Add(ackTimeout + time.Millisecond)) {
 		t.Error("frames without an answer, and the connection is kept")
 	}
-	if o.acked.Store(1); o.dead(start.Add(2 * ackTimeout)) {
+	if o.acks.Store(1); o.isDead(start.Add(2 * ackTimeout)) {
 		t.Error("an answer came, and the connection is given up")
 	}
-	if o.acked.Store(2); o.dead(start.Add(time.Hour)) {
+	if o.acks.Store(2); o.isDead(start.Add(time.Hour)) {
 		t.Error("given up though all is answered")
 	}
-	if there.Close(); !func() bool { o.listen(); return o.dead(start.Add(time.Hour)) }() {
+	if there.Close(); !func() bool { o.countAcks(); return o.isDead(start.Add(time.Hour)) }() {
 		t.Error("the other end has closed it, and it is kept")
 	}
 }
--- a/internal/edge/statestore/statestore.go
+++ b/internal/edge/statestore/statestore.go
@@ -1,5 +1,6 @@
-// Package statestore is the client of the state service. It keeps this
-// controller's share of the request and write limits.
+// Package statestore is the client of the state service. It owns this controller's part of
+// the service's request and write limits, and translates answers into outcomes. It assumes
+// that a call without an answer may still be executed, and never repeats one by itself.
 package statestore
 
 import (
@@ -16,65 +17,65 @@
 	"fawncove/internal/wire"
 )
 
-// How long an answer is waited for, see client.Patience. Answers usually take some ten
-// milliseconds, a few hundred now and then; users wait 2 s for an answer to a poll, 5 s
-// for others.
+// How long an answer is waited for, see client.AdaptiveTimeout. Answers usually take some
+// ten milliseconds, a few hundred now and then; users wait 2 s for the answer to a query,
+// 5 s for others.
 const (
-	leastPatience = 500 * time.Millisecond
-	callTimeout   = 2 * time.Second
+	minAnswerTimeout = 500 * time.Millisecond
+	callTimeout      = 2 * time.Second
 )
 
-// budgetWait bounds how long a call waits for its part of the limits.
-const budgetWait = 1500 * time.Millisecond
+// maxBudgetWait bounds how long a call waits for its part of the limits.
+const maxBudgetWait = 1500 * time.Millisecond
 
 // maxAnswer bounds what is read of one answer; watches have no limit of
 // their own, so this one only guards the memory.
-const maxAnswer = 16 << 20
+const maxAnswerBytes = 16 << 20
 
 // Store calls the state service.
 type Store struct {
-	base     string
-	calls    *client.Client
-	watches  *client.Client
-	work     budget
-	control  budget
-	patience *client.Patience
+	base          string
+	calls         *client.Client
+	watches       *client.Client
+	workBudget    budget
+	leaseBudget   budget
+	answerTimeout *client.AdaptiveTimeout
 }
 
-// Every controller keeps to an equal part of workPart of the limits. The lease
-// value has a part of its own, so that no burst of jobs delays it; only one
-// controller leads, so it is not divided. What is left over absorbs that
-// clocks differ and that renewals come this way when zones are apart.
+// Parts of the service's limits. Every controller keeps to an equal part of workShare. The
+// lease value has a budget of its own, so that no burst of jobs delays it; only one
+// controller leads, so that is not divided. The rest absorbs that clocks differ and that
+// renewals take this way when zones cannot reach each other.
 const (
-	workPart    = 0.8
-	controlPart = 0.12
-	// controlWrites is the lease value's part of the changes: the pages that
-	// name its machines are written with it. The work's part stays whole:
-	// with 0.7 a fiftieth of the submissions came too late where the state
-	// service takes 20 changes a second.
-	controlWrites = 0.18
+	workShare         = 0.8
+	leaseRequestShare = 0.12
+	// leaseWriteShare is the lease value's part of the changes: the pages that name its
+	// machines are written with it. It does not come out of workShare: with 0.7 there, a
+	// fiftieth of the submissions were answered too late at 20 changes a second.
+	leaseWriteShare = 0.18
 )
 
-// New returns a client for the service at addr that keeps within this
-// controller's part of its limits, one of controllers.
+// New returns a client for the service at addr that keeps within the part of its limits,
+// rps requests and writeRPS changes a second, of one of so many controllers.
 func New(addr string, rps, writeRPS float64, controllers int) *Store {
 	n := float64(max(1, controllers))
-	// As many connections as calls can be under way at once: a service that is slow,
-	// or whose answers are lost, must not keep the calls behind them from going out.
-	open := 8 + int(callTimeout.Seconds()*rps*(workPart/n+controlPart))
+	// As many connections as calls can be in flight at once: a service that is slow, or
+	// whose answers are lost, must not keep later calls from going out.
+	open := 8 + int(callTimeout.Seconds()*rps*(workShare/n+leaseRequestShare))
 	return &Store{base: "http://" + addr,
-		calls: client.New(open, maxAnswer, idleConns), watches: client.New(2, maxAnswer, 0),
-		work:     newBudget(rps*workPart/n, writeRPS*workPart/n),
-		control:  newBudget(rps*controlPart, writeRPS*controlWrites),
-		patience: client.NewPatience(leastPatience, callTimeout)}
+		calls: client.New(open, maxAnswerBytes, idleConns), watches: client.New(2, maxAnswerBytes, 0),
+		workBudget:    newBudget(rps*workShare/n, writeRPS*workShare/n),
+		leaseBudget:   newBudget(rps*leaseRequestShare, writeRPS*leaseWriteShare),
+		answerTimeout: client.NewAdaptiveTimeout(minAnswerTimeout, callTimeout)}
 }
 
 // idleConns is how many connections stay open without use.
 const idleConns = 8
 
-// budget is an allowance of requests and of changes.
+// budget limits requests and changes per second.
 type budget struct{ requests, writes *rate.Limiter }
 
+// newBudget returns a budget that allows bursts worth a second.
 func newBudget(rps, writeRPS float64) budget {
 	return budget{
 		requests: rate.NewLimiter(rate.Limit(rps), max(1, int(rps))),
@@ -82,9 +83,9 @@
 	}
 }
 
-// wait takes what a call costs. Changes are taken all at once as far as the
-// burst allows: waiting for them one by one, calls that give up half way
-// would use up what the others wait for.
+// wait waits until a call with so many changes may be sent. Changes are taken all at once
+// as far as the burst allows: if they were waited for one by one, calls that give up
+// half-way would use up what the others wait for.
 func (b budget) wait(ctx context.Context, writes int) error {
 	for writes > 0 {
 		n := min(writes, b.writes.Burst())
@@ -99,18 +100,18 @@
 	return nil
 }
 
-// call waits for its part of the limits, then as long for an answer as answers take.
+// call waits for a budget, then for an answer as long as answers take.
 func (s *Store) call(ctx context.Context, b budget, writes int, f func(context.Context) (int, error)) (int, error) {
-	waiting, cancel := context.WithTimeout(ctx, budgetWait)
+	waiting, cancel := context.WithTimeout(ctx, maxBudgetWait)
 	defer cancel()
 	if err := b.wait(waiting, writes); err != nil {
 		return client.NotSent, err
 	}
-	return s.patience.Call(ctx, f)
+	return s.answerTimeout.Call(ctx, f)
 }
 
-// Txn runs a transaction. Control transactions have a budget of their own.
-func (s *Store) Txn(ctx context.Context, t wire.Txn, control bool) (eventloop.Outcome, wire.TxnAnswer, error) {
+// Txn runs a transaction, within the budget of the lease value or that of all else.
+func (s *Store) Txn(ctx context.Context, t wire.Txn, leaseBudget bool) (eventloop.Outcome, wire.TxnAnswer, error) {
 	var a wire.TxnAnswer
 	if t.If == nil {
 		t.If = []wire.Condition{}
@@ -118,9 +119,9 @@
 	if t.Then == nil {
 		t.Then = []wire.Op{}
 	}
-	b := s.work
-	if control {
-		b = s.control
+	b := s.workBudget
+	if leaseBudget {
+		b = s.leaseBudget
 	}
 	status, err := s.call(ctx, b, len(t.Then), func(ctx context.Context) (int, error) {
 		return s.calls.Do(ctx, "POST", s.base+"/txn", t, &a, 200, 409)
@@ -131,20 +132,20 @@
 // Get reads one key; NotFound says that it does not exist.
 func (s *Store) Get(ctx context.Context, key string) (eventloop.Outcome, wire.Pair, error) {
 	var p wire.Pair
-	status, err := s.call(ctx, s.work, 0, func(ctx context.Context) (int, error) {
+	status, err := s.call(ctx, s.workBudget, 0, func(ctx context.Context) (int, error) {
 		return s.calls.Do(ctx, "GET", s.base+"/store/"+key, nil, &p, 200)
 	})
 	return client.OutcomeOf(status), p, err
 }
 
-// Range reads a page of keys under a prefix.
-func (s *Store) Range(ctx context.Context, prefix, after string, most int) (eventloop.Outcome, wire.Page, error) {
+// Range reads up to count keys under a prefix, in order, beginning after a key.
+func (s *Store) Range(ctx context.Context, prefix, after string, count int) (eventloop.Outcome, wire.Page, error) {
 	var p wire.Page
-	q := url.Values{"under": {prefix}, "most": {strconv.Itoa(most)}}
+	q := url.Values{"under": {prefix}, "most": {strconv.Itoa(count)}}
 	if after != "" {
 		q.Set("after", after)
 	}
-	status, err := s.call(ctx, s.work, 0, func(ctx context.Context) (int, error) {
+	status, err := s.call(ctx, s.workBudget, 0, func(ctx context.Context) (int, error) {
 		return s.calls.Do(ctx, "GET", s.base+"/store?"+q.Encode(), nil, &p, 200)
 	})
 	return client.OutcomeOf(status), p, err
@@ -155,7 +156,7 @@
 	ctx, cancel := context.WithTimeout(ctx, hold+callTimeout)
 	defer cancel()
 	var c wire.Changes
-	if err := s.work.wait(ctx, 0); err != nil {
+	if err := s.workBudget.wait(ctx, 0); err != nil {
 		return eventloop.NotSent, c, err
 	}
 	q := url.Values{"under": {prefix}, "after": {strconv.FormatUint(after, 10)},
--- a/internal/edge/statestore/statestore_test.go
+++ b/internal/edge/statestore/statestore_test.go
@@ -96,7 +96,7 @@
 	defer s.Close()
 	defer close(lost)
 	c := New(strings.TrimPrefix(s.URL, "http://"), 1000, 1000, 1)
-	c.patience = client.NewPatience(20*time.Millisecond, callTimeout)
+	c.answerTimeout = client.NewAdaptiveTimeout(20*time.Millisecond, callTimeout)
 	if outcome, _, err := c.Get(t.Context(), "a"); outcome != eventloop.Succeeded || err != nil {
 		t.Fatalf("get: %s %v", outcome, err)
 	}
@@ -108,7 +108,7 @@
 		t.Errorf("told after %v that there is no answer", took)
 	}
 	<-came
-	c.patience = client.NewPatience(time.Hour, time.Hour)
+	c.answerTimeout = client.NewAdaptiveTimeout(time.Hour, time.Hour)
 	for range calls {
 		go c.Txn(t.Context(), wire.Txn{}, false)
 	}
