--- a/cmd/fawncove/upgrade.go
+++ b/cmd/fawncove/upgrade.go
@@ -51,7 +51,7 @@
 	out      io.Writer
 	settings *config.Settings
 	store    *statestore.Store
-	now      *upgrade.Picture
+	now      *upgrade.Status
 }
 
 // command returns a command that reads the cluster's state and has f answer.
@@ -114,31 +114,31 @@
 			} else {
 				err = printPicture(r.out, r.now)
 			}
-			if err == nil && !r.now.Settled() {
+			if err == nil && !r.now.Complete() {
 				err = exitNotNow
 			}
 			return err
 		}))
 }
 
-func printPicture(out io.Writer, p *upgrade.Picture) error {
+func printPicture(out io.Writer, p *upgrade.Status) error {
 	fmt.Fprintf(out, "%s; lease value in form %d, generation %d\n\n", p.Summary(), p.Form, p.Generation)
 	tw := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(tw, "CONTROLLER\tVERSION\tLEVELS\tSEEN\tREADY\tMACHINES\tUNHEARD\tTO REWRITE\tTOLD")
 	for _, c := range p.Controllers {
-		name, version, levels, seen, ready, told := c.Name, c.Version, fmt.Sprintf("%d-%d", c.Oldest, c.Newest), fmt.Sprint(c.Seen), fmt.Sprint(c.Ready), "-"
+		name, version, levels, seen, ready, told := c.Name, c.Version, fmt.Sprintf("%d-%d", c.OldestLevel, c.NewestLevel), fmt.Sprint(c.SeenLevel), fmt.Sprint(c.Ready), "-"
 		if c.Leads {
 			name += " (leads)"
 		}
 		switch {
-		case c.Older():
+		case c.BeforeLevels():
 			version, levels, seen, ready = "from before levels", "-", "-", "-"
-		case c.Process == 0:
+		case c.Incarnation == 0:
 			version, levels, seen, ready = "not heard of", "-", "-", "-"
 		default:
-			told = humanize.Time(c.Told)
+			told = humanize.Time(c.UpdatedAt)
 		}
-		fmt.Fprintf(tw, "%s\t%s\t%s\t%s\t%s\t%d\t%d\t%d\t%s\n", name, version, levels, seen, ready, c.Machines, c.Unheard, c.Left, told)
+		fmt.Fprintf(tw, "%s\t%s\t%s\t%s\t%s\t%d\t%d\t%d\t%s\n", name, version, levels, seen, ready, c.Machines, c.UnreconciledMachines, c.OutdatedRecords, told)
 	}
 	if err := tw.Flush(); err != nil {
 		return err
@@ -146,10 +146,10 @@
 	if p.Hold {
 		fmt.Fprintln(out, "\nheld by the operator")
 	}
-	if p.Asked > p.Level {
-		fmt.Fprintf(out, "\nlevel %d is asked for\n", p.Asked)
+	if p.RequestedLevel > p.Level {
+		fmt.Fprintf(out, "\nlevel %d is asked for\n", p.RequestedLevel)
 	}
-	for i, w := range p.Waits {
+	for i, w := range p.LevelBlockers {
 		if i == 0 {
 			fmt.Fprintln(out, "\nthe leader waits:")
 		}
@@ -194,9 +194,9 @@
 				if err := r.read(); err != nil {
 					return err
 				}
-				pl.Why = r.now.Busy(before)
+				pl.Why = r.now.ReasonsToWait(before)
 			}
-			pl.Steps = r.now.Steps(version)
+			pl.Steps = r.now.ReplacementOrder(version)
 			pl.Now = len(pl.Why) == 0 && len(pl.Steps) > 0
 			var err error
 			if o.asJSON {
@@ -235,7 +235,7 @@
 		func(r *rollout) error {
 			to := feature.Level(level)
 			if to == 0 {
-				to = r.now.Newest()
+				to = r.now.NewestLevel()
 			}
 			if to <= r.now.Level {
 				_, err := fmt.Fprintf(r.out, "the cluster is at level %d already\n", r.now.Level)
@@ -245,7 +245,7 @@
 				fmt.Fprintf(r.out, "not now: %s\n", strings.Join(lacking, "; "))
 				return exitNotNow
 			}
-			if err := r.now.Ask(r.ctx, r.store, feature.OperatorRequest{TargetLevel: to, Hold: r.now.Hold}, time.Now()); err != nil {
+			if err := r.now.Request(r.ctx, r.store, feature.OperatorRequest{TargetLevel: to, Hold: r.now.Hold}, time.Now()); err != nil {
 				return err
 			}
 			fmt.Fprintf(r.out, "level %d is asked for\n", to)
@@ -274,7 +274,7 @@
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(r.out, "not yet: level %d; %s\n", r.now.Level, strings.Join(r.now.Waits, "; "))
+	fmt.Fprintf(r.out, "not yet: level %d; %s\n", r.now.Level, strings.Join(r.now.LevelBlockers, "; "))
 	return exitNotNow
 }
 
@@ -282,7 +282,7 @@
 	var o operator
 	var off bool
 	cmd := o.command("hold", "Keep the level from being raised by itself", func(r *rollout) error {
-		if err := r.now.Ask(r.ctx, r.store, feature.OperatorRequest{Hold: !off}, time.Now()); err != nil {
+		if err := r.now.Request(r.ctx, r.store, feature.OperatorRequest{Hold: !off}, time.Now()); err != nil {
 			return err
 		}
 		said := "held: nothing is raised until it is asked for"
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,10 +1,10 @@
-// Package config reads the settings file that the platform hands to every
-// controller and checks it. Fields it does not know are ignored, so that a
-// newer platform can start an older controller.
+// Package config reads the settings file that the platform gives to every controller,
+// checks it, and derives limits from it. Fields that it does not know are ignored, so that
+// a newer platform can start an older controller. Nothing outside this package and wire
+// knows the names of settings.
 package config
 
 import (
-	"errors"
 	"fmt"
 	"math"
 	"net"
@@ -37,7 +37,7 @@
 	State string `toml:"state"`
 }
 
-// Cluster is what all controllers share.
+// Cluster is the part of the settings that is the same for all controllers.
 type Cluster struct {
 	InitialSize  int         `toml:"initial_size"`
 	Zones        []string    `toml:"zones"`
@@ -59,7 +59,7 @@
 	GPUsMax float64 `toml:"gpus_max"`
 }
 
-// Objective restates one of the operator's aims.
+// Objective is one of the operators' objectives for a class of jobs.
 type Objective struct {
 	Kind    string  `toml:"kind"`
 	Class   string  `toml:"class"`
@@ -68,7 +68,7 @@
 	WithinS float64 `toml:"within_s"`
 }
 
-// Workers holds the rhythm of reports and leases.
+// Workers holds the intervals and lease times of workers, in seconds.
 type Workers struct {
 	ReportS float64 `toml:"report_s"`
 	LeaseS  float64 `toml:"lease_s"`
@@ -89,25 +89,25 @@
 	ListLagS float64 `toml:"list_lag_s"`
 }
 
-// Limits is the size of the controller's own machine.
+// Limits is the size of the controller's own machine; 0: not limited.
 type Limits struct {
 	Cores   float64 `toml:"cores"`
 	RAMMB   float64 `toml:"ram_mb"`
 	Sockets int     `toml:"sockets"`
 }
 
-// Seconds turns a number of seconds into a duration.
+// Seconds returns a number of seconds as a duration.
 func Seconds(s float64) time.Duration {
 	return time.Duration(s * float64(time.Second))
 }
 
-// ListEvery is how often the leader reads the machine list, when that takes few
-// pages.
+// ListEvery returns how often the leader reads the cloud's machine list, when that takes
+// few pages.
 func (s *Settings) ListEvery() time.Duration {
 	return max(2*time.Second, Seconds(s.Cluster.Cloud.ListLagS)/2)
 }
 
-// ListPause is the time from one page of the machine list to the next.
+// ListPause returns the time from one page of the machine list to the next.
 func (s *Settings) ListPause() time.Duration { return Seconds(1 / (listPart * s.Cluster.Cloud.RPS)) }
 
 // Load reads and checks the file at path.
@@ -122,59 +122,102 @@
 	return &s, nil
 }
 
-// check reports the first field that is missing or contradicts another.
+// FieldError reports that a field of the settings is missing or contradicts another.
+type FieldError struct {
+	Field   string // as the file names it
+	Problem string
+}
+
+// Error names the field and the problem.
+func (e FieldError) Error() string { return e.Field + ": " + e.Problem }
+
+// invalid returns the error for a field.
+func invalid(field, problem string, args ...any) error {
+	return FieldError{field, fmt.Sprintf(problem, args...)}
+}
+
+// minTxnOps is how many changes a transaction has to take: the end of a job changes three
+// keys at once.
+const minTxnOps = 3
+
+// check returns a FieldError for the first field that is missing or contradicts another.
 func (s *Settings) check() error {
+	checks := []func() error{s.checkAddresses, s.Cluster.checkTeams, s.Cluster.checkAmounts, s.Cluster.checkOrder}
+	for _, check := range checks {
+		if err := check(); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// checkAddresses checks the names and addresses of this controller, of the others and of
+// the services.
+func (s *Settings) checkAddresses() error {
 	if s.HostName == "" {
-		return errors.New("host_name: missing")
+		return invalid("host_name", "missing")
 	}
 	if s.Area == "" {
-		return errors.New("area: missing")
+		return invalid("area", "missing")
+	}
+	if s.ClientListen != "" && s.ClientListen == s.ClusterListen {
+		return invalid("cluster_listen", "the same address as client_listen")
 	}
-	addresses := []struct{ field, value string }{
+	type address struct{ field, value string }
+	addresses := []address{
 		{"client_listen", s.ClientListen}, {"cluster_listen", s.ClusterListen},
 		{"external.cloud", s.External.Cloud}, {"external.state", s.External.State},
 	}
-	if s.ClientListen != "" && s.ClientListen == s.ClusterListen {
-		return errors.New("cluster_listen: the same address as client_listen")
-	}
 	names := map[string]bool{s.HostName: true}
-	for i, p := range s.Peers {
-		if p.HostName == "" {
-			return fmt.Errorf("peers[%d].host_name: missing", i)
+	for i, peer := range s.Peers {
+		field := fmt.Sprintf("peers[%d]", i)
+		if peer.HostName == "" {
+			return invalid(field+".host_name", "missing")
 		}
-		if names[p.HostName] {
-			return fmt.Errorf("peers[%d].host_name: %q is named twice", i, p.HostName)
+		if names[peer.HostName] {
+			return invalid(field+".host_name", "%q is named twice", peer.HostName)
 		}
-		names[p.HostName] = true
-		addresses = append(addresses, struct{ field, value string }{fmt.Sprintf("peers[%d].endpoint", i), p.Endpoint})
+		names[peer.HostName] = true
+		addresses = append(addresses, address{field + ".endpoint", peer.Endpoint})
 	}
 	for _, a := range addresses {
 		if _, _, err := net.SplitHostPort(a.value); err != nil {
-			return fmt.Errorf("%s: %q is no address of the form host:port", a.field, a.value)
+			return invalid(a.field, "%q is no address of the form host:port", a.value)
 		}
 	}
-	c := &s.Cluster
-	teams := map[string]bool{}
-	for i, t := range c.Teams {
-		if t.Name == "" {
-			return fmt.Errorf("cluster.teams[%d].name: missing", i)
+	return nil
+}
+
+// checkTeams checks the teams' names, guarantees and limits.
+func (c *Cluster) checkTeams() error {
+	names := map[string]bool{}
+	for i, team := range c.Teams {
+		field := fmt.Sprintf("cluster.teams[%d]", i)
+		if team.Name == "" {
+			return invalid(field+".name", "missing")
 		}
-		if teams[t.Name] {
-			return fmt.Errorf("cluster.teams[%d].name: %q is named twice", i, t.Name)
+		if names[team.Name] {
+			return invalid(field+".name", "%q is named twice", team.Name)
 		}
-		teams[t.Name] = true
-		for _, v := range []float64{t.CPUs, t.CPUsMax, t.GPUs, t.GPUsMax} {
-			if !(v >= 0) || math.IsInf(v, 0) {
-				return fmt.Errorf("cluster.teams[%d]: amounts of %q must not be negative", i, t.Name)
+		names[team.Name] = true
+		for _, amount := range []float64{team.CPUs, team.CPUsMax, team.GPUs, team.GPUsMax} {
+			if !(amount >= 0) || math.IsInf(amount, 0) {
+				return invalid(field, "amounts of %q must not be negative", team.Name)
 			}
 		}
-		if t.CPUsMax > 0 && t.CPUs > t.CPUsMax {
-			return fmt.Errorf("cluster.teams[%d].cpus: the guarantee of %q is above cpus_max", i, t.Name)
+		if team.CPUsMax > 0 && team.CPUs > team.CPUsMax {
+			return invalid(field+".cpus", "the guarantee of %q is above cpus_max", team.Name)
 		}
-		if t.GPUsMax > 0 && t.GPUs > t.GPUsMax {
-			return fmt.Errorf("cluster.teams[%d].gpus: the guarantee of %q is above gpus_max", i, t.Name)
+		if team.GPUsMax > 0 && team.GPUs > team.GPUsMax {
+			return invalid(field+".gpus", "the guarantee of %q is above gpus_max", team.Name)
 		}
 	}
+	return nil
+}
+
+// checkAmounts checks what must be above 0. (Fields that may be 0 are checked last, by
+// checkOrder.)
+func (c *Cluster) checkAmounts() error {
 	for _, f := range []struct {
 		field string
 		value float64
@@ -190,18 +233,22 @@
 		{"cluster.cloud.rps", c.Cloud.RPS},
 	} {
 		if !(f.value > 0) || math.IsInf(f.value, 0) {
-			return fmt.Errorf("%s: must be above 0", f.field)
+			return invalid(f.field, "must be above 0")
 		}
 	}
-	// Finishing a job changes three keys at once, so fewer cannot work.
-	if c.State.TxnOps < 3 {
-		return errors.New("cluster.state.txn_ops: at least 3 are needed")
+	return nil
+}
+
+// checkOrder checks fields against each other, and those that may be 0.
+func (c *Cluster) checkOrder() error {
+	if c.State.TxnOps < minTxnOps {
+		return invalid("cluster.state.txn_ops", "at least %d are needed", minTxnOps)
 	}
 	if c.Workers.CancelS <= c.Workers.LeaseS {
-		return errors.New("cluster.workers.cancel_s: must be above lease_s")
+		return invalid("cluster.workers.cancel_s", "must be above lease_s")
 	}
 	if c.Workers.LeaseS <= c.Workers.ReportS {
-		return errors.New("cluster.workers.lease_s: must be above report_s")
+		return invalid("cluster.workers.lease_s", "must be above report_s")
 	}
 	for _, f := range []struct {
 		field string
@@ -214,7 +261,7 @@
 		{"cluster.limits.sockets", float64(c.Limits.Sockets)},
 	} {
 		if !(f.value >= 0) || math.IsInf(f.value, 0) {
-			return fmt.Errorf("%s: must not be negative", f.field)
+			return invalid(f.field, "must not be negative")
 		}
 	}
 	return nil
--- a/internal/testkit/drill/drill.go
+++ b/internal/testkit/drill/drill.go
@@ -417,7 +417,7 @@
 // settle waits until the plan says that another controller may be replaced.
 func (d *Drill) settle() error {
 	var why []string
-	var before *upgrade.Picture
+	var before *upgrade.Status
 	err := d.until("the next one may be replaced", time.Minute, func() bool {
 		now, err := upgrade.Read(d.ctx, d.store, d.cfg)
 		if err != nil {
@@ -426,7 +426,7 @@
 		if before == nil {
 			before = now
 		}
-		why = now.Busy(before)
+		why = now.ReasonsToWait(before)
 		return len(why) == 0
 	})
 	if err != nil {
@@ -442,7 +442,7 @@
 	if err != nil {
 		return err
 	}
-	if err := pic.Ask(d.ctx, d.store, feature.OperatorRequest{TargetLevel: feature.Newest}, time.Now()); err != nil {
+	if err := pic.Request(d.ctx, d.store, feature.OperatorRequest{TargetLevel: feature.Newest}, time.Now()); err != nil {
 		return err
 	}
 	err = d.until("the level is confirmed", 40*time.Second, func() bool {
@@ -450,7 +450,7 @@
 		return err == nil && pic.Confirmed == feature.Newest
 	})
 	if err != nil {
-		return fmt.Errorf("%w: %s", err, strings.Join(pic.Waits, "; "))
+		return fmt.Errorf("%w: %s", err, strings.Join(pic.LevelBlockers, "; "))
 	}
 	d.say("level %d, confirmed by all controllers", pic.Confirmed)
 	var s simtest.Summary
--- a/internal/testkit/simtest/rollout_test.go
+++ b/internal/testkit/simtest/rollout_test.go
@@ -380,7 +380,7 @@
 	r := newRollout(t, w, before, 0)
 	ctx, version := t.Context(), fmt.Sprintf("up to level %d", newest.Newest)
 	s := &config.Settings{HostName: "n0", Peers: []config.Peer{{HostName: "n1"}, {HostName: "n2"}}}
-	look := func() *upgrade.Picture {
+	look := func() *upgrade.Status {
 		t.Helper()
 		p, err := upgrade.Read(ctx, reader{w}, s)
 		if err != nil {
@@ -395,8 +395,8 @@
 	for range 3 {
 		before := look()
 		w.Run(12 * time.Second) // a renewal may miss one value by a moment
-		steps := look().Steps(version)
-		if busy := look().Busy(before); len(busy) > 0 {
+		steps := look().ReplacementOrder(version)
+		if busy := look().ReasonsToWait(before); len(busy) > 0 {
 			t.Fatalf("to go: %v, not now: %v", steps, busy)
 		}
 		if led := w.leader(); len(steps) > 1 && slices.Index(steps, led) != len(steps)-1 && slices.Contains(steps, led) {
@@ -411,27 +411,27 @@
 		w.Run(6 * time.Second)
 		second := look()
 		w.Run(6 * time.Second)
-		if len(second.Busy(first))+len(look().Busy(second)) == 0 {
+		if len(second.ReasonsToWait(first))+len(look().ReasonsToWait(second)) == 0 {
 			t.Errorf("another one may go while %s is away", steps[0])
 		}
 		w.Run(30 * time.Second)
 	}
 	p, q := look(), look()
-	if steps := p.Steps(version); len(steps) > 0 || len(p.Versions()) != 1 || p.Settled() {
-		t.Errorf("to go %v, versions %v, settled %v", steps, p.Versions(), p.Settled())
+	if steps := p.ReplacementOrder(version); len(steps) > 0 || len(p.Versions()) != 1 || p.Complete() {
+		t.Errorf("to go %v, versions %v, settled %v", steps, p.Versions(), p.Complete())
 	}
 	if lacking := p.CannotFollow(feature.Newest); len(lacking) > 0 {
 		t.Fatal(lacking)
 	}
-	if err := p.Ask(ctx, reader{w}, feature.OperatorRequest{TargetLevel: feature.Newest}, epoch); err != nil {
+	if err := p.Request(ctx, reader{w}, feature.OperatorRequest{TargetLevel: feature.Newest}, epoch); err != nil {
 		t.Fatal(err)
 	}
-	if err := q.Ask(ctx, reader{w}, feature.OperatorRequest{Hold: true}, epoch); !errors.Is(err, upgrade.ErrChanged) {
+	if err := q.Request(ctx, reader{w}, feature.OperatorRequest{Hold: true}, epoch); !errors.Is(err, upgrade.ErrChanged) {
 		t.Errorf("the second of two operators: %v", err)
 	}
 	w.Run(60 * time.Second)
-	if p := look(); !p.Settled() {
-		t.Errorf("not settled: %s, %v", p.Summary(), p.Waits)
+	if p := look(); !p.Complete() {
+		t.Errorf("not settled: %s, %v", p.Summary(), p.LevelBlockers)
 	}
 	r.finish(400 * time.Second)
 }
--- a/internal/upgrade/plan.go
+++ b/internal/upgrade/plan.go
@@ -8,15 +8,15 @@
 	"fawncove/internal/core/feature"
 )
 
-// Steps lists the controllers in the order in which they should be replaced:
-// those that run other versions than the one to be rolled out, the leader last,
-// since each of its replacements costs the cluster a new leader.
-func (p *Picture) Steps(version string) []string {
+// ReplacementOrder returns the controllers that run other versions than the one to be
+// rolled out, in the order in which they should be replaced: the leader last, since each
+// of its replacements costs the cluster an election.
+func (p *Status) ReplacementOrder(version string) []string {
 	var out []string
 	last := ""
 	for _, c := range p.Controllers {
 		switch {
-		case c.Version == version && !c.Older():
+		case c.Version == version && !c.BeforeLevels():
 		case c.Leads:
 			last = c.Name
 		default:
@@ -29,12 +29,12 @@
 	return out
 }
 
-// Versions lists the versions that run, "" being those from before levels.
-func (p *Picture) Versions() []string {
+// Versions returns the versions that run, "" for those from before feature levels.
+func (p *Status) Versions() []string {
 	var out []string
 	for _, c := range p.Controllers {
 		v := c.Version
-		if c.Older() {
+		if c.BeforeLevels() {
 			v = ""
 		}
 		if !slices.Contains(out, v) {
@@ -45,36 +45,36 @@
 	return out
 }
 
-// Busy tells why no controller should be replaced at this moment; nothing when
-// one may be. earlier is a picture from a few seconds before: a value that does
-// not change has no leader, and who has not renewed is gone. A controller that has
-// just gone may pass once more, by a renewal that it sent before.
-func (p *Picture) Busy(earlier *Picture) []string {
+// ReasonsToWait returns why no controller should be replaced now; nothing when one may be.
+// earlier is the status a few seconds before: a value that does not change has no leader,
+// and a controller that has not renewed is gone. One that has just gone may still pass, by
+// a renewal that it sent before.
+func (p *Status) ReasonsToWait(earlier *Status) []string {
 	var out []string
-	if earlier == nil || (earlier.Term == p.Term && earlier.Beat == p.Beat) {
+	if earlier == nil || (earlier.Term == p.Term && earlier.Sequence == p.Sequence) {
 		out = append(out, "nobody leads: the lease value does not change")
 	}
 	for i, c := range p.Controllers {
 		switch {
-		case c.Holder == 0:
+		case c.LeaseIncarnation == 0:
 			out = append(out, c.Name+" holds no block")
-		case c.Unheard > 0:
-			out = append(out, fmt.Sprintf("%s has not heard %d of its machines yet", c.Name, c.Unheard))
-		case c.Process == c.Holder && !c.Ready:
+		case c.UnreconciledMachines > 0:
+			out = append(out, fmt.Sprintf("%s has not heard %d of its machines yet", c.Name, c.UnreconciledMachines))
+		case c.Incarnation == c.LeaseIncarnation && !c.Ready:
 			out = append(out, c.Name+" does not serve users yet")
-		case earlier != nil && i < len(earlier.Controllers) && earlier.Controllers[i].Holder == c.Holder && earlier.Controllers[i].Renewal == c.Renewal:
+		case earlier != nil && i < len(earlier.Controllers) && earlier.Controllers[i].LeaseIncarnation == c.LeaseIncarnation && earlier.Controllers[i].Renewal == c.Renewal:
 			out = append(out, c.Name+" has not renewed its lease")
 		}
 	}
 	return out
 }
 
-// CannotFollow lists the controllers that cannot follow a level, with why.
-func (p *Picture) CannotFollow(l feature.Level) []string {
+// CannotFollow returns the controllers that cannot follow a level, each with the reason.
+func (p *Status) CannotFollow(l feature.Level) []string {
 	var out []string
 	for _, c := range p.Controllers {
-		m := feature.Member{Name: c.Name, Reachable: true, Process: max(c.Holder, c.Process), LeaseIncarnation: c.Holder,
-			Announced: feature.Announcement{Incarnation: c.Process, Version: c.Version, Levels: feature.Range{Oldest: feature.Level(c.Oldest), Newest: feature.Level(c.Newest)}}}
+		m := feature.Member{Name: c.Name, Reachable: true, Process: max(c.LeaseIncarnation, c.Incarnation), LeaseIncarnation: c.LeaseIncarnation,
+			Announced: feature.Announcement{Incarnation: c.Incarnation, Version: c.Version, Levels: feature.Range{Oldest: feature.Level(c.OldestLevel), Newest: feature.Level(c.NewestLevel)}}}
 		if why := m.BlockerFor(l); why != "" {
 			out = append(out, c.Name+" "+why)
 		}
@@ -82,33 +82,33 @@
 	return out
 }
 
-// Newest is the newest level that any controller knows of.
-func (p *Picture) Newest() feature.Level {
+// NewestLevel returns the newest level that any controller knows.
+func (p *Status) NewestLevel() feature.Level {
 	l := p.Level
 	for _, c := range p.Controllers {
-		l = max(l, feature.Level(c.Newest))
+		l = max(l, feature.Level(c.NewestLevel))
 	}
 	return l
 }
 
-// Settled tells whether there is nothing left of a rollout: one version, its
-// newest level seen by all, and every record in its newest form.
-func (p *Picture) Settled() bool {
-	return len(p.Versions()) == 1 && p.Newest() == p.Level && p.Confirmed == p.Level && p.Left == 0
+// Complete reports whether nothing is left of a rollout: one version runs, all have read its
+// newest level, and every record is in its newest form.
+func (p *Status) Complete() bool {
+	return len(p.Versions()) == 1 && p.NewestLevel() == p.Level && p.Confirmed == p.Level && p.OutdatedRecords == 0
 }
 
-// Summary says in one line where the rollout stands.
-func (p *Picture) Summary() string {
+// Summary returns the progress of the rollout in one line.
+func (p *Status) Summary() string {
 	var parts []string
-	parts = append(parts, fmt.Sprintf("level %d of %d", p.Level, p.Newest()))
+	parts = append(parts, fmt.Sprintf("level %d of %d", p.Level, p.NewestLevel()))
 	if p.Confirmed < p.Level {
 		parts = append(parts, "not confirmed by all yet")
 	}
 	if n := len(p.Versions()); n > 1 {
 		parts = append(parts, fmt.Sprintf("%d versions run", n))
 	}
-	if p.Left > 0 {
-		parts = append(parts, fmt.Sprintf("%d records to rewrite", p.Left))
+	if p.OutdatedRecords > 0 {
+		parts = append(parts, fmt.Sprintf("%d records to rewrite", p.OutdatedRecords))
 	}
 	return strings.Join(parts, ", ")
 }
--- a/internal/upgrade/upgrade.go
+++ b/internal/upgrade/upgrade.go
@@ -1,9 +1,9 @@
-// Package upgrade tells an operator where a rollout of the controllers stands:
-// which versions run, which levels they can follow, what keeps the cluster from
-// being raised, what is left to rewrite, and which controller may be replaced
-// next. It reads the state service and nothing else, so it has the same answer
-// while controllers restart; what the leader waits for it tells in the leader's
-// own words.
+// Package upgrade reports the progress of a rollout of the controllers: which versions
+// run, which feature levels they can follow, what keeps the level from being raised, how
+// many records are still in an earlier form, and which controller may be replaced next.
+//
+// It reads the state service only, so that its answer is the same while controllers
+// restart. It writes nothing but the operator's request.
 package upgrade
 
 import (
@@ -30,59 +30,60 @@
 
 // Controller is what is stored of one controller of the settings.
 type Controller struct {
-	Name    string `json:"name"`
-	Leads   bool   `json:"leads"`
-	Version string `json:"version"` // "" of versions from before levels
-	Oldest  uint32 `json:"oldest_level"`
-	Newest  uint32 `json:"newest_level"`
-	Seen    uint32 `json:"seen_level"`
-	Ready   bool   `json:"ready"`
-	// Process told its version, Holder has the block; 0: none.
-	Process  uint64    `json:"process"`
-	Holder   uint64    `json:"holder"`
-	Renewal  uint64    `json:"renewal"`
-	Machines int       `json:"machines"`
-	Unheard  int       `json:"unheard"` // of the machines: may run tasks that it does not know of
-	Left     int       `json:"left"`    // records to rewrite
-	Told     time.Time `json:"told"`
+	Name        string `json:"name"`
+	Leads       bool   `json:"leads"`
+	Version     string `json:"version"` // "" of versions from before levels
+	OldestLevel uint32 `json:"oldest_level"`
+	NewestLevel uint32 `json:"newest_level"`
+	SeenLevel   uint32 `json:"seen_level"`
+	Ready       bool   `json:"ready"`
+	// Incarnation is the process that stored its version, and LeaseIncarnation the one
+	// that holds the block; 0: none.
+	Incarnation          uint64    `json:"process"`
+	LeaseIncarnation     uint64    `json:"holder"`
+	Renewal              uint64    `json:"renewal"`
+	Machines             int       `json:"machines"`
+	UnreconciledMachines int       `json:"unheard"` // of its machines: they may run tasks that it does not know
+	OutdatedRecords      int       `json:"left"`    // records in an earlier form
+	UpdatedAt            time.Time `json:"told"`
 }
 
-// Picture is a rollout at a moment.
-type Picture struct {
-	Level       feature.Level `json:"level"`
-	Confirmed   feature.Level `json:"confirmed"`
-	Generation  uint64        `json:"generation"`
-	Form        int           `json:"form"` // of the lease value
-	Term        uint64        `json:"term"`
-	Beat        uint64        `json:"beat"`
-	Controllers []Controller  `json:"controllers"`
-	Asked       feature.Level `json:"asked"` // by the operator; 0: none
-	Hold        bool          `json:"hold"`
-	Waits       []string      `json:"waits"` // the leader's words
-	Left        int           `json:"left"`
+// Status is the state of a rollout at one time.
+type Status struct {
+	Level           feature.Level `json:"level"`
+	Confirmed       feature.Level `json:"confirmed"`
+	Generation      uint64        `json:"generation"`
+	Form            int           `json:"form"` // of the lease value
+	Term            uint64        `json:"term"`
+	Sequence        uint64        `json:"beat"`
+	Controllers     []Controller  `json:"controllers"`
+	RequestedLevel  feature.Level `json:"asked"` // by the operator; 0: none
+	Hold            bool          `json:"hold"`
+	LevelBlockers   []string      `json:"waits"` // as the leader reports them
+	OutdatedRecords int           `json:"left"`
 
-	word uint64 // version of the operator's word
+	requestVersion uint64 // version of the operator's request as it was read
 }
 
-// Errors of reading and asking.
+// Errors of reading and requesting.
 var (
-	// ErrUnavailable says that the state service does not answer.
+	// ErrUnavailable reports that the state service does not answer.
 	ErrUnavailable = errors.New("the state service does not answer")
-	// ErrEmpty says that no controller has stored a lease value yet.
+	// ErrEmpty reports that no controller has stored a lease value yet.
 	ErrEmpty = errors.New("no controller has stored anything yet")
-	// ErrChanged says that somebody else has given the operator's word meanwhile.
+	// ErrChanged reports that the operator's request was changed meanwhile.
 	ErrChanged = errors.New("somebody else has asked for something meanwhile")
 )
 
-// Read takes a picture of the cluster that the settings describe.
-func Read(ctx context.Context, store Store, s *config.Settings) (*Picture, error) {
+// Read reads the status of the cluster that the settings describe.
+func Read(ctx context.Context, store Store, s *config.Settings) (*Status, error) {
 	rec, err := readLease(ctx, store)
 	if err != nil {
 		return nil, err
 	}
-	p := &Picture{Level: feature.Level(rec.Level), Confirmed: feature.Level(rec.Confirmed), Generation: rec.Generation,
-		Form: max(1, rec.Form), Term: rec.Term, Beat: rec.Sequence}
-	told, err := p.readTold(ctx, store)
+	p := &Status{Level: feature.Level(rec.Level), Confirmed: feature.Level(rec.Confirmed), Generation: rec.Generation,
+		Form: max(1, rec.Form), Term: rec.Term, Sequence: rec.Sequence}
+	records, err := p.readRecords(ctx, store)
 	if err != nil {
 		return nil, err
 	}
@@ -92,32 +93,34 @@
 	}
 	slices.Sort(names)
 	for _, name := range names {
-		b, r := rec.Blocks[name], told[name]
-		c := Controller{Name: name, Leads: name == rec.Leader, Version: r.Version, Oldest: r.OldestLevel, Newest: r.NewestLevel, Seen: r.SeenLevel,
-			Ready: r.Ready, Process: r.Incarnation, Holder: b.Incarnation, Renewal: b.Renewal,
-			Machines: len(b.Machines) + len(b.Unreconciled), Unheard: r.UnreconciledMachines, Left: r.OutdatedRecords}
+		b, r := rec.Blocks[name], records[name]
+		c := Controller{Name: name, Leads: name == rec.Leader, Version: r.Version, OldestLevel: r.OldestLevel, NewestLevel: r.NewestLevel, SeenLevel: r.SeenLevel,
+			Ready: r.Ready, Incarnation: r.Incarnation, LeaseIncarnation: b.Incarnation, Renewal: b.Renewal,
+			Machines: len(b.Machines) + len(b.Unreconciled), UnreconciledMachines: r.UnreconciledMachines, OutdatedRecords: r.OutdatedRecords}
 		if r.UpdatedAtMs > 0 {
-			c.Told = time.UnixMilli(r.UpdatedAtMs).UTC()
+			c.UpdatedAt = time.UnixMilli(r.UpdatedAtMs).UTC()
 		}
 		if c.Leads {
-			p.Waits = r.LevelBlockers
-			if c.Older() {
-				p.Waits = []string{fmt.Sprintf("%s leads in a version from before levels, which raises none", name)}
+			p.LevelBlockers = r.LevelBlockers
+			if c.BeforeLevels() {
+				p.LevelBlockers = []string{fmt.Sprintf("%s leads in a version from before levels, which raises none", name)}
 			}
 		}
-		p.Left += r.OutdatedRecords
+		p.OutdatedRecords += r.OutdatedRecords
 		p.Controllers = append(p.Controllers, c)
 	}
 	return p, nil
 }
 
-// Older tells whether the controller's process is of a version from before
+// BeforeLevels tells whether the controller's process is of a version from before
 // levels: then it has stored nothing of itself, or an earlier process has.
-func (c *Controller) Older() bool { return c.Holder != 0 && c.Process != c.Holder }
+func (c *Controller) BeforeLevels() bool {
+	return c.LeaseIncarnation != 0 && c.Incarnation != c.LeaseIncarnation
+}
 
 // readLease reads the lease value with its pages.
 func readLease(ctx context.Context, store Store) (wire.LeaseRecord, error) {
-	var book leasevalue.PageTable
+	var pages leasevalue.PageTable
 	for try := 0; ; try++ {
 		outcome, pair, err := store.Get(ctx, leasevalue.Key)
 		switch {
@@ -126,12 +129,12 @@
 		case outcome != eventloop.Succeeded:
 			return wire.LeaseRecord{}, unavailable(outcome, err)
 		}
-		rec, err := book.Read(pair.Value)
+		rec, err := pages.Read(pair.Value)
 		if !errors.Is(err, leasevalue.ErrPageMissing) || try == 3 {
 			return rec, err
 		}
-		err = each(ctx, store, leasevalue.PagePrefix, func(p wire.Pair) error {
-			_, err := book.ReadPage(p.Key, p.Value)
+		err = forEachKey(ctx, store, leasevalue.PagePrefix, func(p wire.Pair) error {
+			_, err := pages.ReadPage(p.Key, p.Value)
 			return err
 		})
 		if err != nil {
@@ -140,29 +143,29 @@
 	}
 }
 
-// readTold reads what the controllers and the operator have stored.
-func (p *Picture) readTold(ctx context.Context, store Store) (map[string]wire.ControllerRecord, error) {
-	told := map[string]wire.ControllerRecord{}
-	return told, each(ctx, store, controller.LevelPrefix, func(pair wire.Pair) error {
+// readRecords reads what the controllers and the operator have stored.
+func (p *Status) readRecords(ctx context.Context, store Store) (map[string]wire.ControllerRecord, error) {
+	records := map[string]wire.ControllerRecord{}
+	return records, forEachKey(ctx, store, controller.LevelPrefix, func(pair wire.Pair) error {
 		if pair.Key == controller.OperatorRequestKey {
 			var w wire.OperatorRequest
-			if err := open(pair, &w, func() int { return w.Form }); err != nil {
+			if err := decodeRecord(pair, &w, func() int { return w.Form }); err != nil {
 				return err
 			}
-			p.Asked, p.Hold, p.word = feature.Level(w.TargetLevel), w.HoldLevel, pair.Version
+			p.RequestedLevel, p.Hold, p.requestVersion = feature.Level(w.TargetLevel), w.HoldLevel, pair.Version
 			return nil
 		}
 		var r wire.ControllerRecord
-		if err := open(pair, &r, func() int { return r.Form }); err != nil {
+		if err := decodeRecord(pair, &r, func() int { return r.Form }); err != nil {
 			return err
 		}
-		told[pair.Key[min(len(pair.Key), len(controller.ControllerPrefix)):]] = r
+		records[pair.Key[min(len(pair.Key), len(controller.ControllerPrefix)):]] = r
 		return nil
 	})
 }
 
-// open decodes a stored value of a known form.
-func open(pair wire.Pair, v any, form func() int) error {
+// decodeRecord decodes a stored value of a known form.
+func decodeRecord(pair wire.Pair, v any, form func() int) error {
 	if err := wire.Decode(pair.Value, v); err != nil {
 		return fmt.Errorf("%s: %w", pair.Key, err)
 	}
@@ -172,8 +175,8 @@
 	return nil
 }
 
-// each calls f for every key under a prefix.
-func each(ctx context.Context, store Store, prefix string, f func(wire.Pair) error) error {
+// forEachKey calls f for every key under a prefix.
+func forEachKey(ctx context.Context, store Store, prefix string, f func(wire.Pair) error) error {
 	after := ""
 	for {
 		outcome, page, err := store.Range(ctx, prefix, after, 500)
@@ -192,6 +195,7 @@
 	}
 }
 
+// unavailable returns the error for a call that failed.
 func unavailable(outcome eventloop.Outcome, err error) error {
 	if err != nil {
 		return fmt.Errorf("%w: %w", ErrUnavailable, err)
@@ -199,10 +203,10 @@
 	return fmt.Errorf("%w: %s", ErrUnavailable, outcome)
 }
 
-// Ask gives the operator's word, in place of the one that the picture shows.
-func (p *Picture) Ask(ctx context.Context, store Store, word feature.OperatorRequest, at time.Time) error {
-	rec := wire.OperatorRequest{Form: wire.ControllerForm, TargetLevel: uint32(word.TargetLevel), HoldLevel: word.Hold, UpdatedAtMs: at.UnixMilli()}
-	outcome, _, err := store.Txn(ctx, wire.Txn{If: []wire.Condition{{Key: controller.OperatorRequestKey, Version: p.word}},
+// Request stores the operator's request in place of the one that was read.
+func (p *Status) Request(ctx context.Context, store Store, request feature.OperatorRequest, at time.Time) error {
+	rec := wire.OperatorRequest{Form: wire.ControllerForm, TargetLevel: uint32(request.TargetLevel), HoldLevel: request.Hold, UpdatedAtMs: at.UnixMilli()}
+	outcome, _, err := store.Txn(ctx, wire.Txn{If: []wire.Condition{{Key: controller.OperatorRequestKey, Version: p.requestVersion}},
 		Then: []wire.Op{{Put: controller.OperatorRequestKey, Value: rec}}}, false)
 	switch outcome {
 	case eventloop.Succeeded:
