--- a/cmd/fawncove/check.go
+++ b/cmd/fawncove/check.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	// fewMachines is a fleet that is too small for any deployment.
-	fewMachines = 50
-	// cpusPerMachine is a middling machine; the settings name no types.
+	// minUsefulFleet is the size, in machines, below which a fleet is of no use.
+	minUsefulFleet = 50
+	// cpusPerMachine is the size assumed of a machine: the settings name no machine types.
 	cpusPerMachine = 16
 )
 
@@ -29,16 +29,16 @@
 			if err != nil {
 				return err
 			}
-			return report(cmd.OutOrStdout(), cmd.ErrOrStderr(), path, s)
+			return printLimits(cmd.OutOrStdout(), cmd.ErrOrStderr(), path, s)
 		},
 	}
 	configFlag(cmd, &path)
 	return cmd
 }
 
-// report prints what the settings allow: the largest fleet by each budget, and
-// a warning when the tightest is too small for what the teams may use.
-func report(out, warn io.Writer, path string, s *config.Settings) error {
+// printLimits prints the largest fleet that each limit of the settings allows, and a
+// warning when the tightest is too small for what the teams may use.
+func printLimits(out, warn io.Writer, path string, s *config.Settings) error {
 	budgets := s.Budgets()
 	if _, err := fmt.Fprintf(out, "%s: ok, controller %s with %d peers, a fleet of up to about %d machines\n",
 		path, s.HostName, len(s.Peers), budgets[0].Machines); err != nil {
@@ -53,12 +53,12 @@
 			return err
 		}
 	}
-	most := 0.0
+	limits := 0.0
 	for _, t := range s.Cluster.Teams {
-		most += max(t.CPUs, t.CPUsMax)
+		limits += max(t.CPUs, t.CPUsMax)
 	}
-	if tight := budgets[0]; tight.Machines < fewMachines || most > cpusPerMachine*float64(tight.Machines) {
-		_, err := fmt.Fprintf(warn, "%s: warning: %s: %s for only about %d machines; the fleet will stop growing there\n", path, tight.Field, tight.Name, tight.Machines)
+	if tightest := budgets[0]; tightest.Machines < minUsefulFleet || limits > cpusPerMachine*float64(tightest.Machines) {
+		_, err := fmt.Fprintf(warn, "%s: warning: %s: %s for only about %d machines; the fleet will stop growing there\n", path, tightest.Field, tightest.Name, tightest.Machines)
 		return err
 	}
 	return nil
--- a/cmd/fawncove/main.go
+++ b/cmd/fawncove/main.go
@@ -28,8 +28,9 @@
 	}
 }
 
-// exitStatus ends the program with a status and without a word: the command it
-// ran has said all there is.
+// exitStatus ends the program with an exit status and without a message: the command has
+// printed its answer already.
 type exitStatus int
 
+// Error names the status; it is not printed.
 func (e exitStatus) Error() string { return fmt.Sprintf("exit status %d", int(e)) }
--- a/cmd/fawncove/recover.go
+++ b/cmd/fawncove/recover.go
@@ -14,9 +14,9 @@
 
 func recoverCommand() *cobra.Command {
 	cmd := &cobra.Command{Use: "recover", Short: "See what became of a state service that has lost data"}
-	var o operator
+	var o clusterCommands
 	cmd.AddCommand(o.jsonFlag(o.stateCommand("status", "Show the state's generation and the last rebuild; ends with 3 while one is under way",
-		func(r *rollout) error {
+		func(r *session) error {
 			g, found, err := recovery.Read(r.ctx, r.store)
 			switch {
 			case err != nil:
@@ -27,26 +27,26 @@
 				err = printGeneration(r.out, g, found)
 			}
 			if err == nil && g.Rebuilding {
-				err = exitNotNow
+				err = exitPending
 			}
 			return err
 		})))
 	return cmd
 }
 
-func printGeneration(out io.Writer, g recovery.Generation, found bool) error {
-	at := time.UnixMilli(g.RecoveredAtMs)
+func printGeneration(out io.Writer, generation recovery.Generation, found bool) error {
+	at := time.UnixMilli(generation.RecoveredAtMs)
 	var err error
 	switch {
 	case !found:
 		_, err = fmt.Fprintln(out, "generation 1: the state has never been rebuilt")
-	case g.Rebuilding:
-		_, err = fmt.Fprintf(out, "generation %d has lost data; %s noticed %s, and it is being rebuilt\n", g.Generation, g.Controller, humanize.Time(at))
+	case generation.Rebuilding:
+		_, err = fmt.Fprintf(out, "generation %d has lost data; %s noticed %s, and it is being rebuilt\n", generation.Generation, generation.Controller, humanize.Time(at))
 	default:
 		_, err = fmt.Fprintf(out, `generation %d, rebuilt by %s %s (%s) in %v
 revision %d had been seen, %d was found
 stored again: %d jobs, %d ends; %d machines were taken over
-`, g.Generation, g.Controller, humanize.Time(at), at.UTC().Format(time.RFC3339), time.Duration(g.TookMs)*time.Millisecond, g.RevisionSeen, g.RevisionFound, g.Jobs, g.Ends, g.Machines)
+`, generation.Generation, generation.Controller, humanize.Time(at), at.UTC().Format(time.RFC3339), time.Duration(generation.TookMs)*time.Millisecond, generation.RevisionSeen, generation.RevisionFound, generation.Jobs, generation.Ends, generation.Machines)
 	}
 	return err
 }
--- a/cmd/fawncove/served.go
+++ b/cmd/fawncove/served.go
@@ -58,12 +58,12 @@
 		w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 		fmt.Fprintln(w, "kind\tname\tcame\taccepted\tbegun\tlate\tended\tcancelled\tshare\toldest\tlargest\ttheir share\t")
 		for _, r := range rows {
-			largest, part := "", ""
+			largest, share := "", ""
 			if r.Largest > 0 {
-				largest, part = fmt.Sprint(r.Largest), fmt.Sprintf("%.3f", r.LargestShare)
+				largest, share = fmt.Sprint(r.Largest), fmt.Sprintf("%.3f", r.LargestShare)
 			}
 			fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%.3f\t%.0f s\t%s\t%s\t%s\n", r.Kind, r.Name, r.Submitted, r.Accepted,
-				r.Started, r.StartedLate, r.Ended, r.Cancelled, r.Share, r.OldestS, largest, part, r.Failed)
+				r.Started, r.StartedLate, r.Ended, r.Cancelled, r.Share, r.OldestS, largest, share, r.Failed)
 		}
 		if err := w.Flush(); err != nil {
 			return err
--- a/cmd/fawncove/try.go
+++ b/cmd/fawncove/try.go
@@ -23,38 +23,11 @@
 running. Tasks take their time, or run COMMAND with FAWNCOVE_TASK and
 FAWNCOVE_ATTEMPT in its environment. The rules of the protocol are checked all
 along; the exit status tells whether they held and all jobs ended.`,
-		RunE: func(cmd *cobra.Command, args []string) (err error) {
+		RunE: func(cmd *cobra.Command, args []string) error {
 			ctx, cancel := interrupted(cmd.Context())
 			defer cancel()
-			if p.Back && p.From == "" {
-				return fmt.Errorf("--back needs --upgrade-from")
-			}
 			p.Run, p.Out = args, cmd.OutOrStdout()
-			if p.Binary, err = os.Executable(); err != nil {
-				return fmt.Errorf("try: %w", err)
-			}
-			if p.Dir, err = os.MkdirTemp("", "fawncove-try-"); err != nil {
-				return fmt.Errorf("try: %w", err)
-			}
-			d, err := drill.Start(ctx, p)
-			if err != nil {
-				return err
-			}
-			err = exercise(d, p)
-			if err == nil && stay {
-				fmt.Fprintln(p.Out, "\nthe cluster stays until it is interrupted")
-				<-ctx.Done()
-			}
-			d.Stop()
-			if errors.Is(err, context.Canceled) {
-				fmt.Fprintln(p.Out, "\ninterrupted; the controllers have ended")
-				return os.RemoveAll(p.Dir)
-			}
-			if err != nil {
-				return fmt.Errorf("%w (logs in %s)", err, p.Dir)
-			}
-			fmt.Fprintln(p.Out, "\nall jobs are over, no rule was broken")
-			return os.RemoveAll(p.Dir)
+			return try(ctx, p, stay)
 		},
 	}
 	f := cmd.Flags()
@@ -68,25 +41,57 @@
 	return cmd
 }
 
-// exercise is what a drill consists of.
-func exercise(d *drill.Drill, p drill.Plan) error {
-	if err := d.Ready(); err != nil {
+// try runs a drill in a folder of its own, which is removed unless something fails.
+func try(ctx context.Context, p drill.Plan, stay bool) (err error) {
+	if p.Back && p.From == "" {
+		return errors.New("--back needs --upgrade-from")
+	}
+	if p.Binary, err = os.Executable(); err != nil {
+		return fmt.Errorf("try: %w", err)
+	}
+	if p.Dir, err = os.MkdirTemp("", "fawncove-try-"); err != nil {
+		return fmt.Errorf("try: %w", err)
+	}
+	cluster, err := drill.Start(ctx, p)
+	if err != nil {
+		return err
+	}
+	err = runDrill(cluster, p)
+	if err == nil && stay {
+		fmt.Fprintln(p.Out, "\nthe cluster stays until it is interrupted")
+		<-ctx.Done()
+	}
+	cluster.Stop()
+	if errors.Is(err, context.Canceled) {
+		fmt.Fprintln(p.Out, "\ninterrupted; the controllers have ended")
+		return os.RemoveAll(p.Dir)
+	}
+	if err != nil {
+		return fmt.Errorf("%w (logs in %s)", err, p.Dir)
+	}
+	fmt.Fprintln(p.Out, "\nall jobs are over, no rule was broken")
+	return os.RemoveAll(p.Dir)
+}
+
+// runDrill plays what the flags ask for and waits until all sample jobs have ended.
+func runDrill(cluster *drill.Drill, plan drill.Plan) error {
+	if err := cluster.Ready(); err != nil {
 		return err
 	}
-	fmt.Fprintf(p.Out, "three controllers serve; their settings and logs are in %s\n\ntype next, in another terminal:\n", p.Dir)
+	fmt.Fprintf(plan.Out, "three controllers serve; their settings and logs are in %s\n\ntype next, in another terminal:\n", plan.Dir)
 	for _, args := range []string{"upgrade status", "upgrade plan", "recover status", "check-config"} {
-		fmt.Fprintf(p.Out, "    %s %s --config %s\n", p.Binary, args, d.Settings())
+		fmt.Fprintf(plan.Out, "    %s %s --config %s\n", plan.Binary, args, cluster.Settings())
 	}
-	fmt.Fprintf(p.Out, "    tail -f %s/n0.log\n\n", p.Dir)
-	if p.Lose > 0 {
-		if err := d.LoseState(); err != nil {
+	fmt.Fprintf(plan.Out, "    tail -f %s/n0.log\n\n", plan.Dir)
+	if plan.Lose > 0 {
+		if err := cluster.LoseState(); err != nil {
 			return err
 		}
 	}
-	if p.From != "" {
-		if err := d.Rollout(); err != nil {
+	if plan.From != "" {
+		if err := cluster.Rollout(); err != nil {
 			return err
 		}
 	}
-	return d.Finish(3*time.Minute + p.Over)
+	return cluster.Finish(3*time.Minute + plan.Over)
 }
--- a/cmd/fawncove/upgrade.go
+++ b/cmd/fawncove/upgrade.go
@@ -19,44 +19,44 @@
 	"fawncove/internal/upgrade"
 )
 
-// exitNotNow is the status of a command whose answer is "not now".
-const exitNotNow = exitStatus(3)
+// exitPending is the exit status of a command whose answer is "not now".
+const exitPending = exitStatus(3)
 
-// develVersion is what builds are called that know nothing of their source.
+// develVersion is the version of a build without information about its source.
 const develVersion = "(devel)"
 
-// A plan takes three looks at the lease value, lookApart from each other. A leader
-// publishes every 5 s, so a value that does not change has none; and it honours
-// the last renewal of a controller that is gone once more, but not twice.
+// A plan reads the lease value three times, observationInterval apart. A leader publishes
+// every 5 s, so a value that does not change has none; and it acknowledges the last renewal
+// of a controller that is gone once more, but not twice.
 const (
-	lookApart = 6 * time.Second
-	looks     = 3
+	observationInterval = 6 * time.Second
+	observations     = 3
 )
 
-// operator is what the commands of a rollout share.
-type operator struct {
+// clusterCommands is what the commands that look at a cluster share.
+type clusterCommands struct {
 	config string
 	asJSON bool
 }
 
-// jsonFlag lets a command print its answer for programs.
-func (o *operator) jsonFlag(cmd *cobra.Command) *cobra.Command {
+// jsonFlag adds the flag that prints the answer as JSON.
+func (o *clusterCommands) jsonFlag(cmd *cobra.Command) *cobra.Command {
 	cmd.Flags().BoolVar(&o.asJSON, "json", false, "print one JSON object")
 	return cmd
 }
 
-// rollout is what a command of a rollout works on.
-type rollout struct {
+// session is what a command works on while it runs.
+type session struct {
 	ctx      context.Context
 	out      io.Writer
 	settings *config.Settings
 	store    *statestore.Store
-	now      *upgrade.Status
+	status      *upgrade.Status
 }
 
-// command returns a command that reads the cluster's state and has f answer.
-func (o *operator) command(use, short string, f func(r *rollout) error) *cobra.Command {
-	return o.stateCommand(use, short, func(r *rollout) error {
+// command returns a command that reads the cluster's status and calls f.
+func (o *clusterCommands) command(use, short string, f func(r *session) error) *cobra.Command {
+	return o.stateCommand(use, short, func(r *session) error {
 		if err := r.read(); err != nil {
 			return err
 		}
@@ -64,8 +64,8 @@
 	})
 }
 
-// stateCommand returns a command that has the state service at hand.
-func (o *operator) stateCommand(use, short string, f func(r *rollout) error) *cobra.Command {
+// stateCommand returns a command that can call the state service.
+func (o *clusterCommands) stateCommand(use, short string, f func(r *session) error) *cobra.Command {
 	cmd := &cobra.Command{Use: use, Short: short, Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			ctx, cancel := interrupted(cmd.Context())
@@ -74,7 +74,7 @@
 			if err != nil {
 				return err
 			}
-			r := &rollout{ctx: ctx, out: cmd.OutOrStdout(), settings: s,
+			r := &session{ctx: ctx, out: cmd.OutOrStdout(), settings: s,
 				store: statestore.New(s.External.State, s.Cluster.State.RPS, s.Cluster.State.WriteRPS, s.Controllers())}
 			return f(r)
 		},
@@ -83,14 +83,14 @@
 	return cmd
 }
 
-// read takes a picture of the cluster as it is now.
-func (r *rollout) read() (err error) {
-	r.now, err = upgrade.Read(r.ctx, r.store, r.settings)
+// read reads the status of the cluster.
+func (r *session) read() (err error) {
+	r.status, err = upgrade.Read(r.ctx, r.store, r.settings)
 	return err
 }
 
-// sleep waits, unless the command is ended before.
-func (r *rollout) sleep(d time.Duration) error {
+// sleep waits for a time, or until the command is interrupted.
+func (r *session) sleep(d time.Duration) error {
 	select {
 	case <-time.After(d):
 		return nil
@@ -106,106 +106,106 @@
 }
 
 func upgradeStatus() *cobra.Command {
-	var o operator
+	var o clusterCommands
 	return o.jsonFlag(o.command("status", "Show versions, levels and what is left; ends with 3 while a rollout is under way",
-		func(r *rollout) (err error) {
+		func(r *session) (err error) {
 			if o.asJSON {
-				err = json.NewEncoder(r.out).Encode(r.now)
+				err = json.NewEncoder(r.out).Encode(r.status)
 			} else {
-				err = printPicture(r.out, r.now)
+				err = printStatus(r.out, r.status)
 			}
-			if err == nil && !r.now.Complete() {
-				err = exitNotNow
+			if err == nil && !r.status.Complete() {
+				err = exitPending
 			}
 			return err
 		}))
 }
 
-func printPicture(out io.Writer, p *upgrade.Status) error {
-	fmt.Fprintf(out, "%s; lease value in form %d, generation %d\n\n", p.Summary(), p.Form, p.Generation)
+func printStatus(out io.Writer, status *upgrade.Status) error {
+	fmt.Fprintf(out, "%s; lease value in form %d, generation %d\n\n", status.Summary(), status.Form, status.Generation)
 	tw := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(tw, "CONTROLLER\tVERSION\tLEVELS\tSEEN\tREADY\tMACHINES\tUNHEARD\tTO REWRITE\tTOLD")
-	for _, c := range p.Controllers {
-		name, version, levels, seen, ready, told := c.Name, c.Version, fmt.Sprintf("%d-%d", c.OldestLevel, c.NewestLevel), fmt.Sprint(c.SeenLevel), fmt.Sprint(c.Ready), "-"
-		if c.Leads {
+	for _, controller := range status.Controllers {
+		name, version, levels, seen, ready, updated := controller.Name, controller.Version, fmt.Sprintf("%d-%d", controller.OldestLevel, controller.NewestLevel), fmt.Sprint(controller.SeenLevel), fmt.Sprint(controller.Ready), "-"
+		if controller.Leads {
 			name += " (leads)"
 		}
 		switch {
-		case c.BeforeLevels():
+		case controller.BeforeLevels():
 			version, levels, seen, ready = "from before levels", "-", "-", "-"
-		case c.Incarnation == 0:
+		case controller.Incarnation == 0:
 			version, levels, seen, ready = "not heard of", "-", "-", "-"
 		default:
-			told = humanize.Time(c.UpdatedAt)
+			updated = humanize.Time(controller.UpdatedAt)
 		}
-		fmt.Fprintf(tw, "%s\t%s\t%s\t%s\t%s\t%d\t%d\t%d\t%s\n", name, version, levels, seen, ready, c.Machines, c.UnreconciledMachines, c.OutdatedRecords, told)
+		fmt.Fprintf(tw, "%s\t%s\t%s\t%s\t%s\t%d\t%d\t%d\t%s\n", name, version, levels, seen, ready, controller.Machines, controller.UnreconciledMachines, controller.OutdatedRecords, updated)
 	}
 	if err := tw.Flush(); err != nil {
 		return err
 	}
-	if p.Hold {
+	if status.Hold {
 		fmt.Fprintln(out, "\nheld by the operator")
 	}
-	if p.RequestedLevel > p.Level {
-		fmt.Fprintf(out, "\nlevel %d is asked for\n", p.RequestedLevel)
+	if status.RequestedLevel > status.Level {
+		fmt.Fprintf(out, "\nlevel %d is asked for\n", status.RequestedLevel)
 	}
-	for i, w := range p.LevelBlockers {
-		if i == 0 {
+	for info, blocker := range status.LevelBlockers {
+		if info == 0 {
 			fmt.Fprintln(out, "\nthe leader waits:")
 		}
-		fmt.Fprintln(out, "  "+w)
+		fmt.Fprintln(out, "  "+blocker)
 	}
 	fmt.Fprintln(out)
-	for _, g := range feature.All() {
-		i := g.Info()
+	for _, gate := range feature.All() {
+		info := gate.Info()
 		state := "closed"
-		if (feature.State{Level: p.Level, Confirmed: p.Confirmed}).Open(g) {
+		if (feature.State{Level: status.Level, Confirmed: status.Confirmed}).Open(gate) {
 			state = "open"
 		}
-		if _, err := fmt.Fprintf(out, "gate %-12s level %d, since version %s: %s\n", i.Name, i.Level, i.Version, state); err != nil {
+		if _, err := fmt.Fprintf(out, "gate %-12s level %d, since version %s: %s\n", info.Name, info.Level, info.Version, state); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// plan is what `upgrade plan` prints.
-type plan struct {
+// replacementPlan is what `upgrade plan` prints.
+type replacementPlan struct {
 	Version string   `json:"version"`
 	Steps   []string `json:"steps"`
-	Now     bool     `json:"now"` // the first step may be taken now
-	Why     []string `json:"why"` // or why not
+	MayReplace     bool     `json:"now"` // the first step may be taken now
+	Reasons     []string `json:"why"` // or why not
 }
 
 func upgradePlan() *cobra.Command {
-	var o operator
+	var o clusterCommands
 	var version string
 	cmd := o.jsonFlag(o.command("plan", "Show the order of replacement, and whether the next one may go now; ends with 3 if not",
-		func(r *rollout) error {
+		func(r *session) error {
 			if version == develVersion {
 				return errors.New("this build names no version, so it cannot be told from another: build with -buildvcs=true, or name what is rolled out with --version")
 			}
-			pl := &plan{Version: version}
-			for look := 1; look < looks && len(pl.Why) == 0; look++ {
-				before := r.now
-				if err := r.sleep(lookApart); err != nil {
+			plan := &replacementPlan{Version: version}
+			for observation := 1; observation < observations && len(plan.Reasons) == 0; observation++ {
+				before := r.status
+				if err := r.sleep(observationInterval); err != nil {
 					return err
 				}
 				if err := r.read(); err != nil {
 					return err
 				}
-				pl.Why = r.now.ReasonsToWait(before)
+				plan.Reasons = r.status.ReasonsToWait(before)
 			}
-			pl.Steps = r.now.ReplacementOrder(version)
-			pl.Now = len(pl.Why) == 0 && len(pl.Steps) > 0
+			plan.Steps = r.status.ReplacementOrder(version)
+			plan.MayReplace = len(plan.Reasons) == 0 && len(plan.Steps) > 0
 			var err error
 			if o.asJSON {
-				err = json.NewEncoder(r.out).Encode(pl)
+				err = json.NewEncoder(r.out).Encode(plan)
 			} else {
-				err = printPlan(r.out, pl)
+				err = printPlan(r.out, plan)
 			}
-			if err == nil && !pl.Now && len(pl.Steps) > 0 {
-				err = exitNotNow
+			if err == nil && !plan.MayReplace && len(plan.Steps) > 0 {
+				err = exitPending
 			}
 			return err
 		}))
@@ -213,51 +213,51 @@
 	return cmd
 }
 
-func printPlan(out io.Writer, pl *plan) error {
-	if len(pl.Steps) == 0 {
-		_, err := fmt.Fprintf(out, "all controllers run %s\n", pl.Version)
+func printPlan(out io.Writer, plan *replacementPlan) error {
+	if len(plan.Steps) == 0 {
+		_, err := fmt.Fprintf(out, "all controllers run %s\n", plan.Version)
 		return err
 	}
-	fmt.Fprintf(out, "to roll out %s, one at a time: %s\n", pl.Version, strings.Join(pl.Steps, ", "))
-	if pl.Now {
-		_, err := fmt.Fprintf(out, "%s may be replaced now\n", pl.Steps[0])
+	fmt.Fprintf(out, "to roll out %s, one at a time: %s\n", plan.Version, strings.Join(plan.Steps, ", "))
+	if plan.MayReplace {
+		_, err := fmt.Fprintf(out, "%s may be replaced now\n", plan.Steps[0])
 		return err
 	}
-	_, err := fmt.Fprintf(out, "not now: %s\n", strings.Join(pl.Why, "; "))
+	_, err := fmt.Fprintf(out, "not now: %s\n", strings.Join(plan.Reasons, "; "))
 	return err
 }
 
 func upgradeRaise() *cobra.Command {
-	var o operator
+	var o clusterCommands
 	var level uint32
 	var wait time.Duration
 	cmd := o.command("raise", "Have the level raised as soon as every controller can follow; there is no way back",
-		func(r *rollout) error {
+		func(r *session) error {
 			to := feature.Level(level)
 			if to == 0 {
-				to = r.now.NewestLevel()
+				to = r.status.NewestLevel()
 			}
-			if to <= r.now.Level {
-				_, err := fmt.Fprintf(r.out, "the cluster is at level %d already\n", r.now.Level)
+			if to <= r.status.Level {
+				_, err := fmt.Fprintf(r.out, "the cluster is at level %d already\n", r.status.Level)
 				return err
 			}
-			if lacking := r.now.CannotFollow(to); len(lacking) > 0 {
+			if lacking := r.status.CannotFollow(to); len(lacking) > 0 {
 				fmt.Fprintf(r.out, "not now: %s\n", strings.Join(lacking, "; "))
-				return exitNotNow
+				return exitPending
 			}
-			if err := r.now.Request(r.ctx, r.store, feature.OperatorRequest{TargetLevel: to, Hold: r.now.Hold}, time.Now()); err != nil {
+			if err := r.status.Request(r.ctx, r.store, feature.OperatorRequest{TargetLevel: to, Hold: r.status.Hold}, time.Now()); err != nil {
 				return err
 			}
 			fmt.Fprintf(r.out, "level %d is asked for\n", to)
-			return r.confirmed(to, wait)
+			return r.awaitConfirmation(to, wait)
 		})
 	cmd.Flags().Uint32Var(&level, "level", 0, "level to raise to (default: the newest that any controller knows)")
 	cmd.Flags().DurationVar(&wait, "wait", 30*time.Second, "how long to wait until all have confirmed; 0: not at all")
 	return cmd
 }
 
-// confirmed waits until all controllers have confirmed a level.
-func (r *rollout) confirmed(to feature.Level, wait time.Duration) error {
+// awaitConfirmation waits until all controllers have confirmed a level.
+func (r *session) awaitConfirmation(to feature.Level, wait time.Duration) error {
 	if wait <= 0 {
 		return nil
 	}
@@ -266,30 +266,30 @@
 		if err := r.sleep(time.Second); err != nil {
 			return err
 		}
-		if err = r.read(); err == nil && r.now.Confirmed >= to {
-			_, err := fmt.Fprintf(r.out, "level %d, confirmed by all controllers\n", r.now.Level)
+		if err = r.read(); err == nil && r.status.Confirmed >= to {
+			_, err := fmt.Fprintf(r.out, "level %d, confirmed by all controllers\n", r.status.Level)
 			return err
 		}
 	}
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(r.out, "not yet: level %d; %s\n", r.now.Level, strings.Join(r.now.LevelBlockers, "; "))
-	return exitNotNow
+	fmt.Fprintf(r.out, "not yet: level %d; %s\n", r.status.Level, strings.Join(r.status.LevelBlockers, "; "))
+	return exitPending
 }
 
 func upgradeHold() *cobra.Command {
-	var o operator
+	var o clusterCommands
 	var off bool
-	cmd := o.command("hold", "Keep the level from being raised by itself", func(r *rollout) error {
-		if err := r.now.Request(r.ctx, r.store, feature.OperatorRequest{Hold: !off}, time.Now()); err != nil {
+	cmd := o.command("hold", "Keep the level from being raised by itself", func(r *session) error {
+		if err := r.status.Request(r.ctx, r.store, feature.OperatorRequest{Hold: !off}, time.Now()); err != nil {
 			return err
 		}
-		said := "held: nothing is raised until it is asked for"
+		answer := "held: nothing is raised until it is asked for"
 		if off {
-			said = "no longer held"
+			answer = "no longer held"
 		}
-		_, err := fmt.Fprintln(r.out, said)
+		_, err := fmt.Fprintln(r.out, answer)
 		return err
 	})
 	cmd.Flags().BoolVar(&off, "off", false, "let it be raised by itself again")
