--- a/cmd/fawncove/upgrade.go
+++ b/cmd/fawncove/upgrade.go
@@ -30,7 +30,7 @@
 // of a controller that is gone once more, but not twice.
 const (
 	observationInterval = 6 * time.Second
-	observations     = 3
+	observations        = 3
 )
 
 // clusterCommands is what the commands that look at a cluster share.
@@ -51,7 +51,7 @@
 	out      io.Writer
 	settings *config.Settings
 	store    *statestore.Store
-	status      *upgrade.Status
+	status   *upgrade.Status
 }
 
 // command returns a command that reads the cluster's status and calls f.
@@ -171,10 +171,10 @@
 
 // replacementPlan is what `upgrade plan` prints.
 type replacementPlan struct {
-	Version string   `json:"version"`
-	Steps   []string `json:"steps"`
-	MayReplace     bool     `json:"now"` // the first step may be taken now
-	Reasons     []string `json:"why"` // or why not
+	Version    string   `json:"version"`
+	Steps      []string `json:"steps"`
+	MayReplace bool     `json:"now"` // the first step may be taken now
+	Reasons    []string `json:"why"` // or why not
 }
 
 func upgradePlan() *cobra.Command {
