--- a/internal/core/owner/bench_test.go
+++ b/internal/core/owner/bench_test.go
@@ -24,7 +24,7 @@
 			mayStart(o)
 			for i, name := range names {
 				m := o.machines[name]
-				m.kind, m.zone, m.spot, m.session, m.endpoint, m.size = "s4", "x", true, 1, "10.0.0.1:9000", sched.Resources{CPUs: 8, MemoryGB: 32}
+				m.machineType, m.zone, m.spot, m.agentEpoch, m.endpoint, m.size = "s4", "x", true, 1, "10.0.0.1:9000", sched.Resources{CPUs: 8, MemoryGB: 32}
 				if i%25 == 0 {
 					o.ApplyJob(wire.JobRecord{Job: wire.Job{ID: fmt.Sprintf("wk-%06d", i), Class: "c", Team: "red", Shape: wire.Array, Priority: "standard",
 						Tasks: 150, CPUs: 4, MemoryGB: 4, Spot: true, EstimateS: 60, Image: "img", ImageGB: 1}}, RecordInfo{Version: uint64(10 + i)})
@@ -36,7 +36,7 @@
 			}
 			for b.Loop() {
 				now = now.Add(time.Millisecond)
-				o.loop.Now, o.preemptAt = now, now
+				o.loop.Now, o.preemptedAt = now, now
 				o.place()
 			}
 			b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N)/float64(n), "ns/machine")
--- a/internal/core/owner/fleet_test.go
+++ b/internal/core/owner/fleet_test.go
@@ -23,7 +23,7 @@
 	var all []*machine
 	for i, name := range names {
 		all = append(all, o.machines[name])
-		report(o, now, eventloop.HeartbeatRequest{Req: uint64(i), Heartbeat: reportOf(all[i], 1, 1, all[i].fence)})
+		report(o, now, eventloop.HeartbeatRequest{Req: uint64(i), Heartbeat: reportOf(all[i], 1, 1, all[i].firstToken)})
 	}
 	return o, all, now
 }
@@ -36,7 +36,7 @@
 		o, all, now := block(t, 2)
 		replica := putArray(o, "wk-000001", "production", 1, 1, now)
 		replica.Record.Shape = wire.Daemon
-		o.start(replica, all[0])
+		o.bind(replica, all[0])
 		putArray(o, "wk-000002", "urgent", 3000, 1, now)
 		wide := putArray(o, "wk-000003", "idle", 1, 4, now)
 		ends := map[string]time.Time{}
@@ -48,8 +48,8 @@
 			mayStart(o)
 			for _, m := range all {
 				var tasks []wire.TaskStatus
-				for _, key := range sortedRuns(m) {
-					x := wire.TaskStatus{Task: key.task, Attempt: key.attempt, State: wire.TaskRunning}
+				for _, key := range sortedAttempts(m) {
+					x := wire.TaskStatus{Task: key.task, Attempt: key.number, State: wire.TaskRunning}
 					if ends[key.task].IsZero() { // staggered, so that they never end together
 						ends[key.task] = at.Add(time.Duration(4+(len(ends)+offset)%7) * time.Second)
 					}
@@ -58,15 +58,15 @@
 					}
 					tasks = append(tasks, x)
 				}
-				report(o, at, eventloop.HeartbeatRequest{Req: 1, Heartbeat: reportOf(m, 1, uint64(s+1), o.tokenFor(m), tasks...)})
+				report(o, at, eventloop.HeartbeatRequest{Req: 1, Heartbeat: reportOf(m, 1, uint64(s+1), o.fencingToken(m), tasks...)})
 			}
 			tick(o, at.Add(200*time.Millisecond))
-			if wide.begun {
+			if wide.started {
 				begun = at.Sub(now)
 			}
 		}
 		if bound := o.overdueAfter() + 15*time.Second; begun == 0 || begun > bound {
-			t.Errorf("offset %d: %s began after %v (0s: not within 120 s), room was kept on %q; the bound is %v", offset, wide.Record.ID, begun, wide.keeps, bound)
+			t.Errorf("offset %d: %s began after %v (0s: not within 120 s), room was kept on %q; the bound is %v", offset, wide.Record.ID, begun, wide.reservedMachine, bound)
 		}
 	}
 }
@@ -81,8 +81,8 @@
 	tick(o, now.Add(200*time.Millisecond))
 	on := func(j *Job) *machine {
 		for _, m := range all {
-			for _, r := range m.runs {
-				if r.j == j {
+			for _, r := range m.attempts {
+				if r.job == j {
 					return m
 				}
 			}
@@ -93,7 +93,7 @@
 	one, two := on(j), on(other)
 	o.EndJob(j)
 	w := o.view.Settings.Cluster.Workers
-	for s := 1; s < 60 && !one.lost; s++ {
+	for s := 1; s < 60 && !one.unreachable; s++ {
 		at := now.Add(time.Duration(s) * time.Second)
 		o.ChangesKnown(o.view.LeaseVersion, at)
 		tick(o, at)
@@ -102,7 +102,7 @@
 			break
 		}
 	}
-	if two.lost {
+	if two.unreachable {
 		t.Error("a machine that was only cut off is given up as well")
 	}
 }
@@ -114,7 +114,7 @@
 	o, all, now := block(t, 1)
 	m := all[0]
 	long := putArray(o, "wk-000001", "urgent", 1, 1, now)
-	o.start(long, m)
+	o.bind(long, m)
 	wide := putArray(o, "wk-000002", "idle", 1, 4, now)
 	var small *Job
 	kept, came, waits := time.Duration(0), time.Duration(0), time.Duration(0)
@@ -124,23 +124,23 @@
 		o.loop.Begin(at)
 		mayStart(o)
 		var tasks []wire.TaskStatus
-		for _, key := range sortedRuns(m) {
-			tasks = append(tasks, wire.TaskStatus{Task: key.task, Attempt: key.attempt, State: wire.TaskRunning})
+		for _, key := range sortedAttempts(m) {
+			tasks = append(tasks, wire.TaskStatus{Task: key.task, Attempt: key.number, State: wire.TaskRunning})
 		}
-		report(o, at, eventloop.HeartbeatRequest{Req: 1, Heartbeat: reportOf(m, 1, uint64(s+1), o.tokenFor(m), tasks...)})
+		report(o, at, eventloop.HeartbeatRequest{Req: 1, Heartbeat: reportOf(m, 1, uint64(s+1), o.fencingToken(m), tasks...)})
 		tick(o, at.Add(200*time.Millisecond))
-		if wide.keeps != "" && kept == 0 {
+		if wide.reservedMachine != "" && kept == 0 {
 			kept = at.Sub(now)
 		}
 		if kept > 0 && small == nil {
 			small, came = putArray(o, "wk-000003", "standard", 3, 1, at), at.Sub(now)
 		}
-		if small != nil && len(small.runs) > 0 {
+		if small != nil && len(small.attempts) > 0 {
 			waits = at.Sub(now) - came
 		}
 	}
-	if kept == 0 || waits < 50*time.Second || waits > 90*time.Second || len(small.runs) != 1 {
-		t.Fatalf("kept after %v; wk-000003 came after %v, waited %v (0s: for ever) beside room on %s, and %d tasks of it were let in", kept, came, waits, m.name, len(small.runs))
+	if kept == 0 || waits < 50*time.Second || waits > 90*time.Second || len(small.attempts) != 1 {
+		t.Fatalf("kept after %v; wk-000003 came after %v, waited %v (0s: for ever) beside room on %s, and %d tasks of it were let in", kept, came, waits, m.name, len(small.attempts))
 	}
 }
 
@@ -158,13 +158,13 @@
 		o.loop.Begin(at)
 		mayStart(o)
 		var tasks []wire.TaskStatus
-		for _, key := range sortedRuns(m) {
-			if attempts[key.attempt] = true; len(attempts) > 1 {
+		for _, key := range sortedAttempts(m) {
+			if attempts[key.number] = true; len(attempts) > 1 {
 				again = at.Sub(now)
 			}
-			tasks = append(tasks, wire.TaskStatus{Task: key.task, Attempt: key.attempt, State: wire.TaskEnded, Reason: wire.ReasonError})
+			tasks = append(tasks, wire.TaskStatus{Task: key.task, Attempt: key.number, State: wire.TaskEnded, Reason: wire.ReasonError})
 		}
-		report(o, at, eventloop.HeartbeatRequest{Req: 1, Heartbeat: reportOf(m, 1, uint64(s+1), o.tokenFor(m), tasks...)})
+		report(o, at, eventloop.HeartbeatRequest{Req: 1, Heartbeat: reportOf(m, 1, uint64(s+1), o.fencingToken(m), tasks...)})
 		tick(o, at.Add(200*time.Millisecond))
 	}
 	if again < 50*time.Second || again > 90*time.Second {
--- a/internal/core/owner/forget_test.go
+++ b/internal/core/owner/forget_test.go
@@ -21,7 +21,7 @@
 	for s := 1; s < 20; s++ {
 		at := now.Add(time.Duration(s) * time.Second)
 		o.ChangesKnown(o.view.LeaseVersion, at)
-		report(o, at, eventloop.HeartbeatRequest{Req: uint64(s), Heartbeat: reportOf(m, 1, uint64(s), o.tokenFor(m), done)})
+		report(o, at, eventloop.HeartbeatRequest{Req: uint64(s), Heartbeat: reportOf(m, 1, uint64(s), o.fencingToken(m), done)})
 		forgotten := false
 		for _, e := range o.loop.Effects() {
 			if r, ok := e.(eventloop.Reply); ok {
--- a/internal/core/owner/guards_test.go
+++ b/internal/core/owner/guards_test.go
@@ -46,19 +46,19 @@
 		j := putArray(o, "wk-000001", "standard", 3, 1, now)
 		tasks := []wire.TaskStatus{{Task: "wk-000001/0", Attempt: 5, State: wire.TaskEnded, Reason: wire.ReasonDone},
 			{Task: "wk-000001/1", Attempt: 6, State: wire.TaskRunning}}
-		heard := m.heard
-		report(o, now.Add(time.Second), eventloop.HeartbeatRequest{Req: 1, Heartbeat: reportOf(m, 1, 90, m.fence-1, tasks...)})
-		if m.heard != heard || m.session != 0 || o.usable(m) || j.doneCount > 0 || len(j.runs) > 0 || len(m.runs) > 0 || m.dirty != old {
-			t.Errorf("taken over: %v: the copy counted: %+v, %d done, %d runs", old, m, j.doneCount, len(j.runs))
+		heard := m.lastHeartbeat
+		report(o, now.Add(time.Second), eventloop.HeartbeatRequest{Req: 1, Heartbeat: reportOf(m, 1, 90, m.firstToken-1, tasks...)})
+		if m.lastHeartbeat != heard || m.agentEpoch != 0 || o.usable(m) || j.doneCount > 0 || len(j.attempts) > 0 || len(m.attempts) > 0 || m.needsReconciliation != old {
+			t.Errorf("taken over: %v: the copy counted: %+v, %d done, %d runs", old, m, j.doneCount, len(j.attempts))
 		}
-		report(o, now.Add(2*time.Second), eventloop.HeartbeatRequest{Req: 2, Heartbeat: reportOf(m, 1, 95, m.fence)})
-		if !m.hears() || m.seq != 95 || m.dirty {
+		report(o, now.Add(2*time.Second), eventloop.HeartbeatRequest{Req: 2, Heartbeat: reportOf(m, 1, 95, m.firstToken)})
+		if !m.acknowledges() || m.sequence != 95 || m.needsReconciliation {
 			t.Fatalf("a report that shows the token does not count: %+v", m)
 		}
-		runs := len(j.runs)
-		heard = m.heard
-		report(o, now.Add(3*time.Second), eventloop.HeartbeatRequest{Req: 3, Heartbeat: reportOf(m, 1, 94, m.fence, tasks...)})
-		if m.heard != heard || j.doneCount > 0 || len(j.runs) != runs {
+		runs := len(j.attempts)
+		heard = m.lastHeartbeat
+		report(o, now.Add(3*time.Second), eventloop.HeartbeatRequest{Req: 3, Heartbeat: reportOf(m, 1, 94, m.firstToken, tasks...)})
+		if m.lastHeartbeat != heard || j.doneCount > 0 || len(j.attempts) != runs {
 			t.Errorf("a copy of an older report counted: %+v, %d done", m, j.doneCount)
 		}
 		for _, e := range o.loop.Effects() {
@@ -77,7 +77,7 @@
 func TestDeafMachineIsLost(t *testing.T) {
 	for _, recovers := range []bool{false, true} {
 		o, m, now := oneMachine(t, false)
-		report(o, now, eventloop.HeartbeatRequest{Req: 1, Heartbeat: reportOf(m, 1, 1, m.fence)})
+		report(o, now, eventloop.HeartbeatRequest{Req: 1, Heartbeat: reportOf(m, 1, 1, m.firstToken)})
 		putArray(o, "wk-000001", "standard", 1, 1, now)
 		token := m.token
 		for s := 1; s < 30; s++ {
@@ -89,7 +89,7 @@
 				}
 			}
 			if recovers && s > 8 {
-				token = o.tokenFor(m)
+				token = o.fencingToken(m)
 			}
 			report(o, at.Add(600*time.Millisecond), eventloop.HeartbeatRequest{Req: uint64(s), Heartbeat: reportOf(m, 1, uint64(10+s), token)})
 			if s == 4 && o.usable(m) {
@@ -97,8 +97,8 @@
 			}
 			mayStart(o)
 		}
-		if m.lost == recovers {
-			t.Errorf("hears again: %v, given up: %v", recovers, m.lost)
+		if m.unreachable == recovers {
+			t.Errorf("hears again: %v, given up: %v", recovers, m.unreachable)
 		}
 	}
 }
@@ -116,7 +116,7 @@
 	mayStart(o)
 	// One machine has an error against it already, and the first errors of the
 	// mistaken job, before it is known for one, must not be the second.
-	o.machines[names[0]].errors = map[string]bool{"wk-000009/1": true}
+	o.machines[names[0]].failedTasks = map[string]bool{"wk-000009/1": true}
 	mistaken := putArray(o, "wk-000001", "standard", 40, 1, now)
 	why, most := wire.ReasonError, 0
 	seq := uint64(0)
@@ -128,24 +128,24 @@
 		for _, name := range names {
 			m := o.machines[name]
 			var tasks []wire.TaskStatus
-			for _, key := range sortedRuns(m) {
-				tasks = append(tasks, wire.TaskStatus{Task: key.task, Attempt: key.attempt, State: wire.TaskEnded, Reason: why})
+			for _, key := range sortedAttempts(m) {
+				tasks = append(tasks, wire.TaskStatus{Task: key.task, Attempt: key.number, State: wire.TaskEnded, Reason: why})
 			}
 			seq++
-			report(o, at, eventloop.HeartbeatRequest{Req: seq, Heartbeat: reportOf(m, 1, seq, o.tokenFor(m), tasks...)})
+			report(o, at, eventloop.HeartbeatRequest{Req: seq, Heartbeat: reportOf(m, 1, seq, o.fencingToken(m), tasks...)})
 		}
 		for _, name := range names {
-			if o.machines[name].bad {
+			if o.machines[name].quarantined {
 				t.Fatalf("%s is set aside for a mistaken job after %d s", name, s)
 			}
 		}
 		tick(o, at.Add(200*time.Millisecond))
 		if s > 10 && s < 70 {
-			most = max(most, len(mistaken.runs))
+			most = max(most, len(mistaken.attempts))
 		}
 		if s == 70 {
-			if !mistaken.doubtful() || most == 0 || most > doubtfulAtOnce {
-				t.Fatalf("at most %d attempts at once, doubtful: %v", most, mistaken.doubtful())
+			if !mistaken.likelyFaulty() || most == 0 || most > maxFaultyJobAttempts {
+				t.Fatalf("at most %d attempts at once, doubtful: %v", most, mistaken.likelyFaulty())
 			}
 			why = wire.ReasonDone
 		}
@@ -170,8 +170,8 @@
 		o.loop.Begin(at)
 		mayStart(o)
 		var tasks []wire.TaskStatus
-		for _, key := range sortedRuns(m) {
-			x := wire.TaskStatus{Task: key.task, Attempt: key.attempt, State: wire.TaskRunning}
+		for _, key := range sortedAttempts(m) {
+			x := wire.TaskStatus{Task: key.task, Attempt: key.number, State: wire.TaskRunning}
 			if ends[key.task].IsZero() { // staggered, so that they never end together
 				ends[key.task] = at.Add(time.Duration(4+len(ends)%4) * time.Second)
 			}
@@ -180,9 +180,9 @@
 			}
 			tasks = append(tasks, x)
 		}
-		report(o, at, eventloop.HeartbeatRequest{Req: 1, Heartbeat: reportOf(m, 1, uint64(s+1), m.fence, tasks...)})
+		report(o, at, eventloop.HeartbeatRequest{Req: 1, Heartbeat: reportOf(m, 1, uint64(s+1), m.firstToken, tasks...)})
 		tick(o, at.Add(200*time.Millisecond))
-		if wide.begun {
+		if wide.started {
 			begun = at.Sub(now)
 		}
 	}
@@ -230,12 +230,12 @@
 func TestReportsStayWithinTheirLimit(t *testing.T) {
 	o, m, now := oneMachine(t, false)
 	putArray(o, "wk-000001", "idle", 50000, 0.001, now)
-	rep := reportOf(m, 1, 1, m.fence)
+	rep := reportOf(m, 1, 1, m.firstToken)
 	for range 8 {
 		report(o, now, eventloop.HeartbeatRequest{Req: 1, Heartbeat: rep})
 		rep.Sequence, rep.Tasks = rep.Sequence+1, nil
-		for _, key := range sortedRuns(m) {
-			rep.Tasks = append(rep.Tasks, wire.TaskStatus{Task: key.task, Attempt: key.attempt, State: wire.TaskEnded, Reason: wire.ReasonDone})
+		for _, key := range sortedAttempts(m) {
+			rep.Tasks = append(rep.Tasks, wire.TaskStatus{Task: key.task, Attempt: key.number, State: wire.TaskEnded, Reason: wire.ReasonDone})
 		}
 		now = now.Add(time.Second)
 	}
@@ -253,9 +253,9 @@
 	for s, seq := range []uint64{7, 7, 6} {
 		at := now.Add(time.Duration(s) * time.Second)
 		o.ChangesKnown(o.view.LeaseVersion, at)
-		report(o, at, eventloop.HeartbeatRequest{Req: seq, Heartbeat: reportOf(guest, 1, seq, m.fence)})
+		report(o, at, eventloop.HeartbeatRequest{Req: seq, Heartbeat: reportOf(guest, 1, seq, m.firstToken)})
 	}
-	if g := o.guests[guest.name]; g == nil || g.heard != now {
+	if g := o.foreignWorkers[guest.name]; g == nil || g.lastHeartbeat != now {
 		t.Errorf("copies count: %+v", g)
 	}
 }
@@ -277,7 +277,7 @@
 // the raised token nothing more is started by a command of its own.
 func TestOverdueCommandIsVoid(t *testing.T) {
 	o, m, now := oneMachine(t, false)
-	report(o, now, eventloop.HeartbeatRequest{Req: 1, Heartbeat: reportOf(m, 1, 1, m.fence)})
+	report(o, now, eventloop.HeartbeatRequest{Req: 1, Heartbeat: reportOf(m, 1, 1, m.firstToken)})
 	putArray(o, "wk-000001", "standard", 1, 1, now)
 	var sent eventloop.WorkerCommands
 	for _, e := range tick(o, now.Add(time.Second)) {
@@ -291,7 +291,7 @@
 	at := now.Add(12 * time.Second)
 	o.ChangesKnown(o.view.LeaseVersion, at)
 	mayStart(o)
-	report(o, at, eventloop.HeartbeatRequest{Req: 2, Heartbeat: reportOf(m, 1, 5, m.fence)})
+	report(o, at, eventloop.HeartbeatRequest{Req: 2, Heartbeat: reportOf(m, 1, 5, m.firstToken)})
 	got := answers(o.loop.Effects())
 	if len(got) != 1 || got[0].Token <= sent.Body.Token {
 		t.Errorf("answered with %+v after a command with token %d", got, sent.Body.Token)
@@ -299,15 +299,15 @@
 	complete(o, at, eventloop.Completion{ID: sent.ID})
 	j := putArray(o, "wk-000002", "standard", 1, 1, at)
 	o.loop.Begin(at)
-	o.start(j, m)
-	m.noDirect = time.Time{}
+	o.bind(j, m)
+	m.noCommandsBefore = time.Time{}
 	for _, e := range tick(o, at.Add(time.Second)) {
 		if d, ok := e.(eventloop.WorkerCommands); ok && len(d.Body.Commands) > 0 {
 			t.Errorf("%+v sent to a machine that may not hear", d.Body)
 		}
 	}
-	report(o, at.Add(2*time.Second), eventloop.HeartbeatRequest{Req: 3, Heartbeat: reportOf(m, 1, 9, o.tokenFor(m))})
-	if !m.hears() {
+	report(o, at.Add(2*time.Second), eventloop.HeartbeatRequest{Req: 3, Heartbeat: reportOf(m, 1, 9, o.fencingToken(m))})
+	if !m.acknowledges() {
 		t.Error("shows the raised token, and does not count as one that hears")
 	}
 }
@@ -317,14 +317,14 @@
 // token of a later grant says that somebody else has taken over.
 func TestRaisedTokenIsFollowed(t *testing.T) {
 	o, m, now := oneMachine(t, false)
-	report(o, now, eventloop.HeartbeatRequest{Req: 1, Heartbeat: reportOf(m, 1, 1, m.fence)})
-	raised := m.fence + 3
+	report(o, now, eventloop.HeartbeatRequest{Req: 1, Heartbeat: reportOf(m, 1, 1, m.firstToken)})
+	raised := m.firstToken + 3
 	report(o, now.Add(time.Second), eventloop.HeartbeatRequest{Req: 2, Heartbeat: reportOf(m, 1, 8, raised)})
-	if got := answers(o.loop.Effects()); len(got) != 1 || got[0].Token < raised || len(o.guests) > 0 || !m.hears() {
-		t.Errorf("answered with %+v, guests %d", got, len(o.guests))
+	if got := answers(o.loop.Effects()); len(got) != 1 || got[0].Token < raised || len(o.foreignWorkers) > 0 || !m.acknowledges() {
+		t.Errorf("answered with %+v, guests %d", got, len(o.foreignWorkers))
 	}
-	report(o, now.Add(2*time.Second), eventloop.HeartbeatRequest{Req: 3, Heartbeat: reportOf(m, 1, 9, m.fence+1<<24)})
-	if len(o.guests) != 1 {
+	report(o, now.Add(2*time.Second), eventloop.HeartbeatRequest{Req: 3, Heartbeat: reportOf(m, 1, 9, m.firstToken+1<<24)})
+	if len(o.foreignWorkers) != 1 {
 		t.Error("a token of a later grant does not make it a guest")
 	}
 }
@@ -344,7 +344,7 @@
 			skips  uint64
 			raised bool
 		}{{0, 0, true}, {time.Second, 0, false}, {time.Second, 0, false}, {time.Second, 1, true},
-			{time.Second, 0, false}, {raiseEvery - time.Second, 0, true}, {time.Second, 0, false}} {
+			{time.Second, 0, false}, {tokenRaiseInterval - time.Second, 0, true}, {time.Second, 0, false}} {
 			now = now.Add(c.after)
 			o.ChangesKnown(o.view.LeaseVersion, now)
 			seq += 1 + c.skips
@@ -373,18 +373,18 @@
 		o.loop.Begin(at)
 		mayStart(o)
 		j := putArray(o, "wk-000001", "standard", 1, 1, now)
-		o.observe(m, &wire.Heartbeat{Machine: m.name, Endpoint: "e", Type: "s4", Zone: "x", AgentEpoch: 1, Sequence: 5, Token: m.fence}, true)
+		o.observe(m, &wire.Heartbeat{Machine: m.name, Endpoint: "e", Type: "s4", Zone: "x", AgentEpoch: 1, Sequence: 5, Token: m.firstToken}, true)
 		starts := 0
 		for _, e := range tick(o, at) {
 			if d, ok := e.(eventloop.WorkerCommands); ok && len(d.Body.Commands) > 0 {
 				starts++
-				if d.Until.After(o.answerUntil()) {
-					t.Errorf("may be sent until %v, reports answered until %v", d.Until, o.answerUntil())
+				if d.Until.After(o.answerDeadline()) {
+					t.Errorf("may be sent until %v, reports answered until %v", d.Until, o.answerDeadline())
 				}
 			}
 		}
-		if (starts > 0) != fresh || (len(j.runs) > 0) != fresh {
-			t.Errorf("fresh: %v, %d starts, %d runs", fresh, starts, len(j.runs))
+		if (starts > 0) != fresh || (len(j.attempts) > 0) != fresh {
+			t.Errorf("fresh: %v, %d starts, %d runs", fresh, starts, len(j.attempts))
 		}
 	}
 }
@@ -394,7 +394,7 @@
 // many are mute that takes the whole processor.
 func TestMuteMachineIsAskedNowAndThen(t *testing.T) {
 	o, m, now := oneMachine(t, false)
-	report(o, now, eventloop.HeartbeatRequest{Req: 1, Heartbeat: reportOf(m, 1, 1, o.tokenFor(m))})
+	report(o, now, eventloop.HeartbeatRequest{Req: 1, Heartbeat: reportOf(m, 1, 1, o.fencingToken(m))})
 	asked, seq := 0, uint64(1)
 	for ms := 100; ms <= 12000; ms += 100 {
 		at := now.Add(time.Duration(ms) * time.Millisecond)
@@ -422,14 +422,14 @@
 // start that is held on its way must not carry more than that.
 func TestStartsCarryAShownToken(t *testing.T) {
 	o, m, now := oneMachine(t, false)
-	report(o, now, eventloop.HeartbeatRequest{Req: 1, Heartbeat: reportOf(m, 1, 1, m.fence)})
+	report(o, now, eventloop.HeartbeatRequest{Req: 1, Heartbeat: reportOf(m, 1, 1, m.firstToken)})
 	b := o.view.Lease.Blocks["n0"]
 	b.Grant++
 	o.view.Lease.Blocks["n0"] = b
 	mayStart(o)
 	o.ApplyBlock(b)
-	if o.tokenFor(m) <= m.token {
-		t.Fatalf("the new grant's token is %d, shown is %d", o.tokenFor(m), m.token)
+	if o.fencingToken(m) <= m.token {
+		t.Fatalf("the new grant's token is %d, shown is %d", o.fencingToken(m), m.token)
 	}
 	putArray(o, "wk-000001", "urgent", 1, 1, now)
 	starts := 0
--- a/internal/core/owner/job.go
+++ b/internal/core/owner/job.go
@@ -13,7 +13,7 @@
 
 // writesAtOnce bounds the ends under way, so that submissions and
 // cancellations find room in the write limit.
-const writesAtOnce = 4
+const maxEndsInFlight = 4
 
 // Job is a job that is not over, or whose tasks are not all gone yet.
 type Job struct {
@@ -25,31 +25,31 @@
 	EndInFlight bool
 	RetryEndAt  time.Time
 
-	first uint64 // version under which it was first stored
-	form  int    // of the envelope of its record
-	shown [2]int // counts last sent to the peers
+	firstVersion    uint64 // version under which it was first stored
+	envelopeForm    int    // of the envelope of its record
+	publishedCounts [2]int // counts last sent to the peers
 
 	// The owner's part.
-	ready     bool // what earlier owners stored is known
-	reading   bool // waits for a reading of the pages
-	done      []uint64
-	doneCount int
-	queue     []int // tasks that wait, lowest number first
-	runs      map[int]*run
-	stored    []uint64  // completed tasks whose completion is stored
-	readFrom  uint64    // the first reading of the pages that will do
-	notBefore time.Time // back-off after errors
-	failures  int
-	failedOn  map[string]bool // since one of its tasks last completed
-	waitSince time.Time
-	spared    time.Time // not stopped for others before then
-	begun     bool      // a task of it was started, by whomever
-	keeps     string    // machine on which room is kept for it
-	keptSince time.Time // there
-	passedAt  time.Time // when it was last said to be overdue
-	hereSince time.Time // since when it is ready here
-	beside    time.Time // since when another controller has had room for it
-	leaving   uint64    // version of the lease value under which it is to move; 0: it is not
+	ready              bool // what earlier owners stored is known
+	awaitsPages        bool // waits for a reading of the pages
+	done               []uint64
+	doneCount          int
+	queue              []int // tasks that wait, lowest number first
+	attempts           map[int]*attempt
+	stored             []uint64  // completed tasks whose completion is stored
+	pageReadNeeded     uint64    // the first reading of the pages that will do
+	retryAt            time.Time // back-off after errors
+	failures           int
+	failedOn           map[string]bool // since one of its tasks last completed
+	waitSince          time.Time
+	protectedUntil     time.Time // not stopped for others before then
+	started            bool      // a task of it was started, by whomever
+	reservedMachine    string    // machine on which room is kept for it
+	reservedSince      time.Time // there
+	overdueLoggedAt    time.Time // when it was last said to be overdue
+	readySince         time.Time // since when it is ready here
+	roomElsewhereSince time.Time // since when another controller has had room for it
+	movingAtLease      uint64    // version of the lease value under which it is to move; 0: it is not
 }
 
 // age is how long ago the job was submitted.
@@ -58,7 +58,7 @@
 }
 
 // Started tells whether a task of the job was started, as far as is known here.
-func (j *Job) Started() bool { return j.begun }
+func (j *Job) Started() bool { return j.started }
 
 // Counts are the tasks that are completed and those that run, as far as the
 // job's owner knows. It may not have read yet what an earlier owner has told.
@@ -71,7 +71,7 @@
 }
 
 // untold are counts that were never told.
-var untold = [2]int{-1, -1}
+var countsUnpublished = [2]int{-1, -1}
 
 func (j *Job) need() sched.Resources {
 	return sched.Resources{CPUs: j.Record.CPUs, GPUs: j.Record.GPUs, MemoryGB: j.Record.MemoryGB}
@@ -79,7 +79,7 @@
 
 func (j *Job) running() int {
 	n := 0
-	for _, r := range j.runs {
+	for _, r := range j.attempts {
 		if r.state == wire.TaskRunning || r.state == wire.TaskFlushing {
 			n++
 		}
@@ -89,7 +89,7 @@
 
 // home is the key in the lease value at which the job's owner stands: its
 // team, or the part of the team's jobs that it was filed under.
-func (j *Job) home() string {
+func (j *Job) partition() string {
 	if j.Record.Shard != "" {
 		return j.Record.Shard
 	}
@@ -97,17 +97,17 @@
 }
 
 // disown forgets what an owner knows of the job, but for what it would have told.
-func (j *Job) disown() {
+func (j *Job) clearOwnerState() {
 	if j.ready {
 		j.ReportedCounts[0], j.ReportedCounts[1] = j.Counts()
 	}
-	j.shown = untold
-	j.ready, j.reading, j.runs, j.done, j.stored, j.doneCount, j.queue = false, false, nil, nil, nil, 0, nil
+	j.publishedCounts = countsUnpublished
+	j.ready, j.awaitsPages, j.attempts, j.done, j.stored, j.doneCount, j.queue = false, false, nil, nil, nil, 0, nil
 }
 
 // Owns tells whether this controller places the job's tasks.
 func (o *Owner) Owns(j *Job) bool {
-	_, mine := o.homes[j.home()]
+	_, mine := o.partitions[j.partition()]
 	return mine
 }
 
@@ -126,29 +126,29 @@
 }
 
 // adopt makes the job ready for placing when this controller is its home.
-func (o *Owner) adopt(j *Job) {
-	since, mine := o.homes[j.home()]
-	if !mine || j.ready || j.reading || j.Ended {
+func (o *Owner) adoptJob(j *Job) {
+	since, mine := o.partitions[j.partition()]
+	if !mine || j.ready || j.awaitsPages || j.Ended {
 		return
 	}
-	if j.runs == nil {
-		j.runs = map[int]*run{}
+	if j.attempts == nil {
+		j.attempts = map[int]*attempt{}
 		j.done, j.stored = make([]uint64, (j.Record.Tasks+63)/64), make([]uint64, (j.Record.Tasks+63)/64)
 	}
-	if j.first > since {
-		o.jobReady(j) // accepted under this ownership: nothing can have run
+	if j.firstVersion > since {
+		o.markJobReady(j) // accepted under this ownership: nothing can have run
 		return
 	}
-	j.shown = untold // what an earlier owner told last may not have come everywhere
+	j.publishedCounts = countsUnpublished // what an earlier owner told last may not have come everywhere
 	// A reading that is under way may have passed the page already.
-	j.reading, j.readFrom = true, o.pageReads+1
+	j.awaitsPages, j.pageReadNeeded = true, o.pageReadsBegun+1
 }
 
-func (o *Owner) jobReady(j *Job) {
-	j.ready, j.hereSince = true, o.loop.Now
+func (o *Owner) markJobReady(j *Job) {
+	j.ready, j.readySince = true, o.loop.Now
 	j.queue = j.queue[:0]
 	for i := range j.Record.Tasks {
-		if !j.isDone(i) && j.runs[i] == nil {
+		if !j.isDone(i) && j.attempts[i] == nil {
 			j.queue = append(j.queue, i)
 		}
 	}
@@ -161,11 +161,11 @@
 	}
 	j.done[i/64] |= 1 << (i % 64)
 	j.doneCount++
-	j.begun = true
+	j.started = true
 	if j.doneCount == j.Record.Tasks {
-		o.ending[j.Record.ID] = true
+		o.pendingEnds[j.Record.ID] = true
 	} else if !j.isStored(i) {
-		o.noteDone(j, i)
+		o.queueCompletion(j, i)
 	}
 	if k, ok := slices.BinarySearch(j.queue, i); ok {
 		j.queue = slices.Delete(j.queue, k, k+1)
@@ -179,39 +179,39 @@
 		j.Ended = true
 		o.dropEntries(j)
 		j.queue = nil
-		for _, r := range j.runs {
-			if r.state == runQueued {
-				o.dropRun(r)
+		for _, r := range j.attempts {
+			if r.state == attemptQueued {
+				o.dropAttempt(r)
 			} else {
-				r.stop = true
-				o.hurry(r.m)
+				r.stopping = true
+				o.markUrgent(r.machine)
 			}
 		}
 		o.placeDue = true
 	}
-	if len(j.runs) == 0 {
+	if len(j.attempts) == 0 {
 		delete(o.jobs, j.Record.ID)
 	}
 }
 
 // endJobs stores the ends of jobs whose tasks are all completed.
-func (o *Owner) endJobs() {
-	if len(o.ending) == 0 {
+func (o *Owner) storeJobEnds() {
+	if len(o.pendingEnds) == 0 {
 		return
 	}
-	for _, id := range cluster.SortedKeys(o.ending) {
+	for _, id := range cluster.SortedKeys(o.pendingEnds) {
 		j := o.jobs[id]
 		if j == nil || j.Ended || !o.Owns(j) {
-			delete(o.ending, id)
+			delete(o.pendingEnds, id)
 			continue
 		}
-		if o.writing >= writesAtOnce {
+		if o.endsInFlight >= maxEndsInFlight {
 			return
 		}
 		if j.EndInFlight || !j.ready || o.loop.Now.Before(j.RetryEndAt) {
 			continue
 		}
-		o.writing++
-		o.records.StoreEnd(j, wire.Done, 0, func(bool) { o.writing-- })
+		o.endsInFlight++
+		o.records.StoreEnd(j, wire.Done, 0, func(bool) { o.endsInFlight-- })
 	}
 }
--- a/internal/core/owner/malformed_test.go
+++ b/internal/core/owner/malformed_test.go
@@ -32,7 +32,7 @@
 		"409 with another's report": {eventloop.Completion{Outcome: eventloop.Conflict, Heartbeat: other(func(*wire.Heartbeat) {})}, true},
 	} {
 		o, m, now := oneMachine(t, false)
-		report(o, now, eventloop.HeartbeatRequest{Req: 1, Heartbeat: reportOf(m, 1, 1, m.fence)})
+		report(o, now, eventloop.HeartbeatRequest{Req: 1, Heartbeat: reportOf(m, 1, 1, m.firstToken)})
 		j := putArray(o, "wk-000001", "standard", 1, 1, now)
 		var sent eventloop.WorkerCommands
 		for _, e := range tick(o, now.Add(time.Second)) {
@@ -43,20 +43,20 @@
 		if len(sent.Body.Commands) != 1 {
 			t.Fatalf("%s: sent %+v, want one start", name, sent.Body)
 		}
-		token := o.tokenFor(m)
+		token := o.fencingToken(m)
 		c.answer.ID = sent.ID
 		complete(o, now.Add(1100*time.Millisecond), c.answer)
-		if j.doneCount > 0 || m.lost || m.seq != 1 {
-			t.Errorf("%s: counted as a report: %d done, lost: %v, newest report %d", name, j.doneCount, m.lost, m.seq)
+		if j.doneCount > 0 || m.unreachable || m.sequence != 1 {
+			t.Errorf("%s: counted as a report: %d done, lost: %v, newest report %d", name, j.doneCount, m.unreachable, m.sequence)
 		}
 		first := false // still bound to the first start
-		for _, r := range j.runs {
-			first = first || r.attempt == sent.Body.Commands[0].Attempt
+		for _, r := range j.attempts {
+			first = first || r.number == sent.Body.Commands[0].Attempt
 		}
 		if first == c.freed {
 			t.Errorf("%s: bound to its first start: %v", name, first)
 		}
-		if raised := o.tokenFor(m) > token; raised == c.freed {
+		if raised := o.fencingToken(m) > token; raised == c.freed {
 			t.Errorf("%s: the token is raised: %v", name, raised)
 		}
 	}
--- a/internal/core/owner/move.go
+++ b/internal/core/owner/move.go
@@ -33,17 +33,17 @@
 
 const (
 	// moveEvery spaces the looks for jobs that could move, of which one does.
-	moveEvery = time.Second
+	moveCheckInterval = time.Second
 	// steadyFor is for how long others must have told of room: between the end of a
 	// task and the start of the next there is always some.
-	steadyFor = 3 * time.Second
+	roomStableFor = 3 * time.Second
 )
 
 // current tells whether all is known of the job that was stored before its home came
 // here.
-func (o *Owner) current(j *Job) bool {
-	since := o.homes[j.home()]
-	return j.first > since || o.seen >= since
+func (o *Owner) changesCurrent(j *Job) bool {
+	since := o.partitions[j.partition()]
+	return j.firstVersion > since || o.knownRevision >= since
 }
 
 // FreeSlots are, for each type, zone and kind of machine, those of the block with most room
@@ -63,13 +63,13 @@
 		free sched.Resources
 	}
 	best := map[group]*[len(of)]roomiest{}
-	kept := o.keptOn()
-	for _, m := range o.machineOrder() {
-		open, late := o.opens(m, kept)
-		if !open || len(m.runs) >= runsMost {
+	kept := o.reservations()
+	for _, m := range o.machinesByName() {
+		open, late := o.offersRoom(m, kept)
+		if !open || len(m.attempts) >= maxAttemptsPerMachine {
 			continue
 		}
-		g, free := group{m.kind, m.zone, m.spot, late}, m.free()
+		g, free := group{m.machineType, m.zone, m.spot, late}, m.free()
 		if best[g] == nil {
 			best[g] = &[len(of)]roomiest{}
 		}
@@ -80,15 +80,15 @@
 		}
 	}
 	var out []*peerpb.FreeSlot
-	for _, m := range o.machineOrder() {
-		_, late := o.opens(m, kept)
-		b := best[group{m.kind, m.zone, m.spot, late}]
+	for _, m := range o.machinesByName() {
+		_, late := o.offersRoom(m, kept)
+		b := best[group{m.machineType, m.zone, m.spot, late}]
 		if b == nil {
 			continue
 		}
 		if i := slices.IndexFunc(b[:], func(r roomiest) bool { return r.m == m }); i >= 0 {
 			free := b[i].free
-			out = append(out, &peerpb.FreeSlot{Type: m.kind, Zone: m.zone, Spot: m.spot, OverdueOnly: late,
+			out = append(out, &peerpb.FreeSlot{Type: m.machineType, Zone: m.zone, Spot: m.spot, OverdueOnly: late,
 				Cpus: free.CPUs, Gpus: free.GPUs, MemoryGb: free.MemoryGB})
 		}
 	}
@@ -96,11 +96,11 @@
 }
 
 // keptOn are the overdue jobs by the machines on which room is kept for them.
-func (o *Owner) keptOn() map[string]*Job {
+func (o *Owner) reservations() map[string]*Job {
 	kept := map[string]*Job{}
 	for _, j := range o.jobs {
-		if j.keeps != "" && o.Owns(j) && o.overdue(j) {
-			kept[j.keeps] = j
+		if j.reservedMachine != "" && o.Owns(j) && o.overdue(j) {
+			kept[j.reservedMachine] = j
 		}
 	}
 	return kept
@@ -108,32 +108,32 @@
 
 // opens tells whether a machine takes tasks that room is not kept for there, and whether
 // only those of jobs that have waited for long (takes).
-func (o *Owner) opens(m *machine, kept map[string]*Job) (open, late bool) {
+func (o *Owner) offersRoom(m *machine, kept map[string]*Job) (open, late bool) {
 	k := kept[m.name]
-	return o.works(m) && (k == nil || o.keptLong(k)), m.recall || k != nil
+	return o.canRunTasks(m) && (k == nil || o.reservationShared(k)), m.draining || k != nil
 }
 
 // look is one look for jobs that could move, with what is the same for all of them.
-type look struct {
-	o       *Owner
-	unknown []*machine
-	hidden  sched.Resources // what may be on them
-	kept    map[string]*Job
-	parts   map[string][]string // of each team
+type moveCheck struct {
+	owner        *Owner
+	unreconciled []*machine
+	unknownUse   sched.Resources // what may be on them
+	reservations map[string]*Job
+	shards       map[string][]string // of each team
 }
 
 // moveJobs moves a job that waits here without room to a controller that has some. It
 // is called with every tick.
 func (o *Owner) moveJobs() {
-	o.settleMoves()
-	if o.loop.Now.Sub(o.movedAt) < moveEvery || !o.hold.MayStart(o.loop.Now) || !o.allFollowMoves() {
+	o.resolveUncertainMoves()
+	if o.loop.Now.Sub(o.movesCheckedAt) < moveCheckInterval || !o.blockLease.MayStart(o.loop.Now) || !o.allPeersAcceptMoves() {
 		return
 	}
-	o.movedAt = o.loop.Now
-	l := look{o: o, hidden: o.hidden(), kept: o.keptOn(), parts: map[string][]string{}}
-	for _, m := range o.machineOrder() {
-		if m.unsure() {
-			l.unknown = append(l.unknown, m)
+	o.movesCheckedAt = o.loop.Now
+	l := moveCheck{owner: o, unknownUse: o.unknownUse(), reservations: o.reservations(), shards: map[string][]string{}}
+	for _, m := range o.machinesByName() {
+		if m.mayRunUnknownTasks() {
+			l.unreconciled = append(l.unreconciled, m)
 		}
 	}
 	for _, j := range o.readyJobs() {
@@ -143,11 +143,11 @@
 		}
 		switch {
 		case part == "" || l.roomHere(j):
-			j.beside = time.Time{}
-		case j.beside.IsZero():
-			j.beside = o.loop.Now
-		case o.loop.Now.Sub(j.beside) >= steadyFor:
-			o.move(j, node, part)
+			j.roomElsewhereSince = time.Time{}
+		case j.roomElsewhereSince.IsZero():
+			j.roomElsewhereSince = o.loop.Now
+		case o.loop.Now.Sub(j.roomElsewhereSince) >= roomStableFor:
+			o.moveJob(j, node, part)
 			return
 		}
 	}
@@ -155,7 +155,7 @@
 
 // allFollowMoves tells whether every other controller of the settings is in reach and
 // knows that jobs move.
-func (o *Owner) allFollowMoves() bool {
+func (o *Owner) allPeersAcceptMoves() bool {
 	for name, p := range o.view.Peers {
 		if !p.AcceptsJobMoves || !o.view.IsReachable(name, o.loop.Now) {
 			return false
@@ -167,37 +167,37 @@
 // movable tells whether the job has waited here for long though its team's limit allows
 // for a task of it, nothing of it is anywhere and all that is completed is stored. A gang needs room for
 // all its tasks, of which others do not tell.
-func (l *look) movable(j *Job) bool {
-	o, since := l.o, j.waitSince
-	if j.hereSince.After(since) {
-		since = j.hereSince
+func (l *moveCheck) movable(j *Job) bool {
+	o, since := l.owner, j.waitSince
+	if j.readySince.After(since) {
+		since = j.readySince
 	}
-	return o.loop.Now.Sub(since) > o.view.Params.MoveJobAfter && j.Record.Shape != wire.Group && !j.EndInFlight && !j.doubtful() &&
-		len(j.runs) == 0 && (j.doneCount == 0 || o.view.FeatureOpen(feature.Envelope) && j.allStored()) && !o.waitsForUnknown(j, l.unknown) &&
-		o.view.LimitOf(j.Record.Team).Allows(o.usedByAll(j.Record.Team), j.need()) &&
-		o.ceilingOf(j.Record.Team).Allows(o.used[j.Record.Team].Add(l.hidden, 1), j.need())
+	return o.loop.Now.Sub(since) > o.view.Params.MoveJobAfter && j.Record.Shape != wire.Group && !j.EndInFlight && !j.likelyFaulty() &&
+		len(j.attempts) == 0 && (j.doneCount == 0 || o.view.FeatureOpen(feature.Envelope) && j.allStored()) && !o.waitsForReconciliation(j, l.unreconciled) &&
+		o.view.LimitOf(j.Record.Team).Allows(o.clusterUse(j.Record.Team), j.need()) &&
+		o.localLimit(j.Record.Team).Allows(o.used[j.Record.Team].Add(l.unknownUse, 1), j.need())
 }
 
 // roomHere tells whether a machine of the block has room for a task of the job that is
 // not kept for others.
-func (l *look) roomHere(j *Job) bool {
-	return slices.ContainsFunc(l.o.machineOrder(), func(m *machine) bool {
-		if !j.need().Fits(m.free()) || !l.o.allowed(j, m) {
+func (l *moveCheck) roomHere(j *Job) bool {
+	return slices.ContainsFunc(l.owner.machinesByName(), func(m *machine) bool {
+		if !j.need().Fits(m.free()) || !l.owner.feasible(j, m) {
 			return false
 		}
-		open, late := l.o.opens(m, l.kept)
-		return open && (!late || l.o.waitsLong(j)) || l.kept[m.name] == j && l.o.usable(m)
+		open, late := l.owner.offersRoom(m, l.reservations)
+		return open && (!late || l.owner.waitsLong(j)) || l.reservations[m.name] == j && l.owner.usable(m)
 	})
 }
 
 // roomElsewhere names the controller that has most room on one machine for a task of
 // the job, and its first home of the job's team; or none.
-func (l *look) roomElsewhere(j *Job) (node, part string) {
-	o, team := l.o, j.Record.Team
-	parts, known := l.parts[team]
+func (l *moveCheck) roomElsewhere(j *Job) (node, part string) {
+	o, team := l.owner, j.Record.Team
+	parts, known := l.shards[team]
 	if !known {
 		parts = cluster.Shards(o.view.Lease.Partitions, team)
-		l.parts[team] = parts
+		l.shards[team] = parts
 	}
 	most := 0.0
 	for _, home := range parts {
@@ -217,8 +217,8 @@
 	slots := o.view.Peers[node].FreeSlots
 	for i := range slots {
 		s := &slots[i]
-		m := machine{kind: s.MachineType, zone: s.Zone, spot: s.Spot}
-		if (!s.OverdueOnly || o.waitsLong(j)) && j.mayUse(&m) && j.need().Fits(s.Free) && (best == nil || s.Free.CPUs > best.Free.CPUs) {
+		m := machine{machineType: s.MachineType, zone: s.Zone, spot: s.Spot}
+		if (!s.OverdueOnly || o.waitsLong(j)) && j.mayRunOn(&m) && j.need().Fits(s.Free) && (best == nil || s.Free.CPUs > best.Free.CPUs) {
 			best = s
 		}
 	}
@@ -226,7 +226,7 @@
 }
 
 // move has the job's record name a home of another controller.
-func (o *Owner) move(j *Job, node, part string) {
+func (o *Owner) moveJob(j *Job, node, part string) {
 	rec := j.Record
 	rec.Shard, rec.Owner = part, node
 	at := RecordInfo{}
@@ -247,7 +247,7 @@
 	s := o.slotFor(j, node)
 	s.Free = s.Free.Add(j.need(), -1)
 	key := o.records.JobKey(rec.ID)
-	j.leaving, j.beside = o.view.LeaseVersion, time.Time{}
+	j.movingAtLease, j.roomElsewhereSince = o.view.LeaseVersion, time.Time{}
 	o.loop.Emit(eventloop.StateTxn{
 		Txn: wire.Txn{If: append(o.records.LeaseUnchanged(), wire.Condition{Key: key, Version: j.Version}), Then: []wire.Op{{Put: key, Value: value}}},
 		ID: o.loop.Call(func(d eventloop.Completion) {
@@ -259,7 +259,7 @@
 				}
 			case eventloop.NoAnswer: // perhaps it does move, or will: see settleMoves
 			default:
-				j.leaving = 0
+				j.movingAtLease = 0
 			}
 		}),
 	})
@@ -268,22 +268,22 @@
 // settleMoves goes on with jobs that were to move and whose write had no answer: it can
 // be carried out no more once the lease value has changed, and if it was, that is known
 // once all changes up to then are.
-func (o *Owner) settleMoves() {
+func (o *Owner) resolveUncertainMoves() {
 	for _, j := range o.jobs {
-		if j.leaving != 0 && o.view.LeaseVersion > j.leaving && o.seen >= o.view.LeaseVersion {
-			j.leaving = 0
+		if j.movingAtLease != 0 && o.view.LeaseVersion > j.movingAtLease && o.knownRevision >= o.view.LeaseVersion {
+			j.movingAtLease = 0
 		}
 	}
 }
 
 // moved takes in that a job's record names another home than before; mine says that it
 // was this controller's. Its former owner knew that nothing of it was anywhere.
-func (o *Owner) moved(j *Job, at RecordInfo, mine bool) {
-	j.leaving, j.beside, j.keeps = 0, time.Time{}, ""
-	if j.first = at.FirstVersion; at.FirstVersion == 0 {
-		j.first = at.Version
+func (o *Owner) handleMoved(j *Job, at RecordInfo, mine bool) {
+	j.movingAtLease, j.roomElsewhereSince, j.reservedMachine = 0, time.Time{}, ""
+	if j.firstVersion = at.FirstVersion; at.FirstVersion == 0 {
+		j.firstVersion = at.Version
 	}
 	if mine && !o.Owns(j) {
-		j.disown()
+		j.clearOwnerState()
 	}
 }
--- a/internal/core/owner/move_test.go
+++ b/internal/core/owner/move_test.go
@@ -20,8 +20,8 @@
 		Partitions: map[string]string{"free": "n0", "free #1": "n0", "free #2": "n1"}})
 	mayStart(o)
 	m := o.machines["host-000001"]
-	report(o, now, eventloop.HeartbeatRequest{Req: 1, Heartbeat: reportOf(m, 1, 1, m.fence)})
-	o.start(putPart(o, "wk-000001", 6, 4, now), m)
+	report(o, now, eventloop.HeartbeatRequest{Req: 1, Heartbeat: reportOf(m, 1, 1, m.firstToken)})
+	o.bind(putPart(o, "wk-000001", 6, 4, now), m)
 	waits = putPart(o, "wk-000002", 7, 3, now)
 	*o.view.Peers["n1"] = cluster.Peer{AcceptsJobMoves: true, FreeSlots: []cluster.FreeSlot{{MachineType: "s4", Zone: "y", Free: sched.Resources{CPUs: 4, MemoryGB: 16}}}}
 	return o, waits, now
@@ -41,7 +41,7 @@
 		mayStart(o)
 		o.ChangesKnown(o.view.LeaseVersion, now)
 		for _, m := range o.machines {
-			m.heard = now
+			m.lastHeartbeat = now
 		}
 		o.view.Peers["n1"].LastFrame = now
 		for _, e := range tick(o, now) {
@@ -65,17 +65,17 @@
 	}{
 		{"as it should", nil, func(*Owner, *Job) {}, true},
 		{"another machine is not heard, the job came since", wire.NameSet{"host-000002"}, func(*Owner, *Job) {}, true},
-		{"another machine is not heard, the job came before", wire.NameSet{"host-000002"}, func(o *Owner, j *Job) { j.first = 4 }, false},
+		{"another machine is not heard, the job came before", wire.NameSet{"host-000002"}, func(o *Owner, j *Job) { j.firstVersion = 4 }, false},
 		{"a task is completed, no envelopes yet", nil, func(o *Owner, j *Job) { j.doneCount = 1 }, false},
 		{"a task is completed and stored", nil, func(o *Owner, j *Job) {
 			o.view.Lease.Level, o.view.Lease.Confirmed = 2, 2
-			j.form, j.doneCount, j.done[0], j.stored[0] = wire.EnvelopeForm, 1, 1, 1
+			j.envelopeForm, j.doneCount, j.done[0], j.stored[0] = wire.EnvelopeForm, 1, 1, 1
 		}, true},
 		{"a task is completed and not stored", nil, func(o *Owner, j *Job) {
 			o.view.Lease.Level, o.view.Lease.Confirmed = 2, 2
-			j.form, j.doneCount, j.done[0] = wire.EnvelopeForm, 1, 1
+			j.envelopeForm, j.doneCount, j.done[0] = wire.EnvelopeForm, 1, 1
 		}, false},
-		{"a task is somewhere", nil, func(o *Owner, j *Job) { j.runs[0] = &run{j: j, m: o.machines["host-000001"]} }, false},
+		{"a task is somewhere", nil, func(o *Owner, j *Job) { j.attempts[0] = &attempt{job: j, machine: o.machines["host-000001"]} }, false},
 		{"a gang", nil, func(o *Owner, j *Job) { j.Record.Shape = wire.Group }, false},
 		{"a mistaken job", nil, func(o *Owner, j *Job) { j.failedOn = map[string]bool{"a": true, "b": true, "c": true} }, false},
 		{"its end is being stored", nil, func(o *Owner, j *Job) { j.EndInFlight = true }, false},
@@ -129,20 +129,20 @@
 			o.loop.Begin(at)
 			full := o.jobs["wk-000001"]
 			o.EndJob(full)
-			for _, r := range full.runs { // room at last
-				o.dropRun(r)
+			for _, r := range full.attempts { // room at last
+				o.dropAttempt(r)
 			}
-			o.seen = c.known
+			o.knownRevision = c.known
 			o.view.Peers["n1"].AcceptsJobMoves = false
 			for range 10 {
 				at = at.Add(200 * time.Millisecond)
 				o.loop.Begin(at)
 				o.ChangesKnown(0, at)
-				o.machines["host-000001"].heard = at
+				o.machines["host-000001"].lastHeartbeat = at
 				tick(o, at)
 			}
-			if len(j.runs) > 0 != c.goesOn {
-				t.Errorf("%d tasks placed, want %v", len(j.runs), c.goesOn)
+			if len(j.attempts) > 0 != c.goesOn {
+				t.Errorf("%d tasks placed, want %v", len(j.attempts), c.goesOn)
 			}
 		})
 	}
@@ -157,25 +157,25 @@
 			Blocks:     map[string]wire.Block{"n0": {Grant: 1 << 18, Incarnation: 7, Machines: wire.NameSet{"host-000001"}}},
 			Partitions: map[string]string{"free #1": "n1", "free #2": "n1"}})
 		m := o.machines["host-000001"]
-		report(o, now, eventloop.HeartbeatRequest{Req: 1, Heartbeat: reportOf(m, 1, 1, m.fence)})
+		report(o, now, eventloop.HeartbeatRequest{Req: 1, Heartbeat: reportOf(m, 1, 1, m.firstToken)})
 		j := putPart(o, "wk-000001", 6, 1, now)
 		rec := o.view.Lease.Clone()
 		rec.Partitions["free #1"] = "n0"
 		o.view.ApplyLease(rec, 20)
 		o.ApplyBlock(rec.Blocks["n0"])
-		o.jobReady(j) // what earlier owners stored is read
+		o.markJobReady(j) // what earlier owners stored is read
 		play := func() {
 			for range 10 {
 				now = now.Add(200 * time.Millisecond)
 				o.loop.Begin(now)
 				mayStart(o)
 				o.ChangesKnown(0, now)
-				m.heard = now
+				m.lastHeartbeat = now
 				tick(o, now)
 			}
 		}
-		if play(); len(j.runs) > 0 {
-			t.Errorf("moved %v: started at revision %d", moved, o.seen)
+		if play(); len(j.attempts) > 0 {
+			t.Errorf("moved %v: started at revision %d", moved, o.knownRevision)
 		}
 		if moved {
 			later := j.Record
@@ -183,8 +183,8 @@
 			o.ApplyJob(later, RecordInfo{Version: 15})
 		}
 		o.ChangesKnown(20, now)
-		if play(); len(j.runs) > 0 == moved {
-			t.Errorf("moved %v: %d tasks are placed", moved, len(j.runs))
+		if play(); len(j.attempts) > 0 == moved {
+			t.Errorf("moved %v: %d tasks are placed", moved, len(j.attempts))
 		}
 	}
 }
@@ -198,8 +198,8 @@
 		j := putPart(o, "wk-000001", 6, 1, now)
 		later := j.Record
 		later.Shard = "free #2"
-		if o.ApplyJob(later, RecordInfo{Version: 8, FirstVersion: born}); j.ready == (born == 1) || j.reading != (born == 1) {
-			t.Errorf("first stored under %d: ready %v, being read %v", born, j.ready, j.reading)
+		if o.ApplyJob(later, RecordInfo{Version: 8, FirstVersion: born}); j.ready == (born == 1) || j.awaitsPages != (born == 1) {
+			t.Errorf("first stored under %d: ready %v, being read %v", born, j.ready, j.awaitsPages)
 		}
 	}
 }
--- a/internal/core/owner/owner.go
+++ b/internal/core/owner/owner.go
@@ -42,91 +42,91 @@
 
 // Owner is the state of the role. One goroutine owns it.
 type Owner struct {
-	loop    *eventloop.Loop
-	view    *cluster.View
-	hold    *blocklease.Holder
-	records JobRecords
-	log     *slog.Logger
+	loop       *eventloop.Loop
+	view       *cluster.View
+	blockLease *blocklease.Holder
+	records    JobRecords
+	log        *slog.Logger
 
-	fresh   time.Time // all changes of jobs before this time are known
-	seen    uint64    // and all up to this revision
-	clear   time.Time // and all cancellations that were told before this one
-	jobs    map[string]*Job
-	homes   map[string]uint64    // home -> version of the lease value with which it became ours
-	offered map[string]time.Time // when each home was last offered, see yield.go
-	writing int                  // ends under way
-	ending  map[string]bool      // jobs whose end is to be stored
+	changesKnownUntil       time.Time // all changes of jobs before this time are known
+	knownRevision           uint64    // and all up to this revision
+	cancellationsKnownUntil time.Time // and all cancellations that were told before this one
+	jobs                    map[string]*Job
+	partitions              map[string]uint64    // home -> version of the lease value with which it became ours
+	handoverOfferedAt       map[string]time.Time // when each home was last offered, see yield.go
+	endsInFlight            int                  // ends under way
+	pendingEnds             map[string]bool      // jobs whose end is to be stored
 
 	// The pages of completed tasks, see pages.go.
-	pages     []*page
-	pageOf    map[string]*page  // by entry
-	facts     map[string][]byte // what the pages say, by entry
-	pageReads uint64            // readings of all pages begun
-	pagesBusy bool
-	pagesRead bool // all of them, at least once
-	pagesNext time.Time
-	rewriting rewriting
+	pages            []*page
+	pageByEntry      map[string]*page  // by entry
+	completedByEntry map[string][]byte // what the pages say, by entry
+	pageReadsBegun   uint64            // readings of all pages begun
+	readingPages     bool
+	pagesLoaded      bool // all of them, at least once
+	nextPageRead     time.Time
+	upgrade          recordUpgrade
 
-	token uint64 // the highest that any worker has shown here
+	highestToken uint64 // the highest that any worker has shown here
 
-	machines  map[string]*machine
-	reported  time.Time  // when a machine of the block last reported
-	order     []*machine // the block by name, see machineOrder
-	orderDue  bool
-	guests    map[string]*guest
-	hurried   map[string]bool      // machines with commands that should go out at once
-	strangers map[string]bool      // machines to be asked for their tasks
-	asking    int                  // such questions under way
-	cutUntil  map[string]time.Time // zones whose machines may yet come back together
+	machines        map[string]*machine
+	lastHeartbeat   time.Time  // when a machine of the block last reported
+	sortedMachines  []*machine // the block by name, see machineOrder
+	sortStale       bool
+	foreignWorkers  map[string]*foreignWorker
+	urgentMachines  map[string]bool      // machines with commands that should go out at once
+	toProbe         map[string]bool      // machines to be asked for their tasks
+	probesInFlight  int                  // such questions under way
+	zoneCutOffUntil map[string]time.Time // zones whose machines may yet come back together
 
-	used      map[string]sched.Resources // by team
-	startedAt map[string]time.Time       // when something of each team was last started
-	stopping  map[string]sched.Resources // the part of used that is being stopped
-	classes   map[string]*classStats
-	Served    servicereport.Tally
-	inflow    sched.Inflow
-	placeDue  bool
-	placedAt  time.Time
-	preemptAt time.Time
-	passedAt  time.Time // when an overdue job was last said to be passed over
-	choices   []choice  // reused by placeTasks
-	movedAt   time.Time // when jobs that could move were last looked for, see move.go
+	used            map[string]sched.Resources // by team
+	lastStart       map[string]time.Time       // when something of each team was last started
+	stopping        map[string]sched.Resources // the part of used that is being stopped
+	classes         map[string]*classStats
+	Served          servicereport.Tally
+	inflow          sched.Inflow
+	placeDue        bool
+	placedAt        time.Time
+	preemptedAt     time.Time
+	overdueLoggedAt time.Time         // when an overdue job was last said to be passed over
+	scored          []scoredCandidate // reused by placeTasks
+	movesCheckedAt  time.Time         // when jobs that could move were last looked for, see move.go
 }
 
 // New returns the role of an owner that has no jobs and no machines yet.
 func New(loop *eventloop.Loop, view *cluster.View, hold *blocklease.Holder, records JobRecords, log *slog.Logger) *Owner {
-	return &Owner{loop: loop, view: view, hold: hold, records: records, log: log,
-		jobs:      map[string]*Job{},
-		homes:     map[string]uint64{},
-		offered:   map[string]time.Time{},
-		ending:    map[string]bool{},
-		pageOf:    map[string]*page{},
-		facts:     map[string][]byte{},
-		machines:  map[string]*machine{},
-		guests:    map[string]*guest{},
-		hurried:   map[string]bool{},
-		strangers: map[string]bool{},
-		cutUntil:  map[string]time.Time{},
-		used:      map[string]sched.Resources{},
-		startedAt: map[string]time.Time{},
-		stopping:  map[string]sched.Resources{},
-		classes:   map[string]*classStats{},
+	return &Owner{loop: loop, view: view, blockLease: hold, records: records, log: log,
+		jobs:              map[string]*Job{},
+		partitions:        map[string]uint64{},
+		handoverOfferedAt: map[string]time.Time{},
+		pendingEnds:       map[string]bool{},
+		pageByEntry:       map[string]*page{},
+		completedByEntry:  map[string][]byte{},
+		machines:          map[string]*machine{},
+		foreignWorkers:    map[string]*foreignWorker{},
+		urgentMachines:    map[string]bool{},
+		toProbe:           map[string]bool{},
+		zoneCutOffUntil:   map[string]time.Time{},
+		used:              map[string]sched.Resources{},
+		lastStart:         map[string]time.Time{},
+		stopping:          map[string]sched.Resources{},
+		classes:           map[string]*classStats{},
 	}
 }
 
 // ChangesKnown notes that all changes of jobs up to a revision, and all made before a moment,
 // have been taken in.
 func (o *Owner) ChangesKnown(revision uint64, at time.Time) {
-	o.seen = max(o.seen, revision)
-	if at.After(o.fresh) {
-		o.fresh = at
+	o.knownRevision = max(o.knownRevision, revision)
+	if at.After(o.changesKnownUntil) {
+		o.changesKnownUntil = at
 	}
 }
 
 // CancellationsKnown notes that all cancellations told to their users before a moment are known.
 func (o *Owner) CancellationsKnown(at time.Time) {
-	if at.After(o.clear) {
-		o.clear = at
+	if at.After(o.cancellationsKnownUntil) {
+		o.cancellationsKnownUntil = at
 	}
 }
 
@@ -150,41 +150,41 @@
 func (o *Owner) ApplyJob(rec wire.JobRecord, at RecordInfo) {
 	j := o.jobs[rec.ID]
 	if j == nil {
-		j = &Job{first: at.FirstVersion, waitSince: o.loop.Now}
+		j = &Job{firstVersion: at.FirstVersion, waitSince: o.loop.Now}
 		if at.FirstVersion == 0 {
-			j.first = at.Version
+			j.firstVersion = at.Version
 		}
 		o.jobs[rec.ID] = j
 		if rec.Shape != wire.Daemon { // one is never done; its processors are taken off what there is
-			o.inflow.Add(time.UnixMilli(rec.SubmittedAtMs), float64(rec.Tasks)*rec.CPUs*max(1, o.runSeconds(&rec)))
+			o.inflow.Add(time.UnixMilli(rec.SubmittedAtMs), float64(rec.Tasks)*rec.CPUs*max(1, o.estimatedRunSeconds(&rec)))
 		}
 	}
 	if at.Version <= j.Version {
 		return
 	}
 	mine, moved := o.Owns(j), j.Version != 0 && j.Record.Shard != rec.Shard
-	j.Record, j.Version, j.form = rec, at.Version, at.Form
+	j.Record, j.Version, j.envelopeForm = rec, at.Version, at.Form
 	if moved {
-		o.moved(j, at, mine)
+		o.handleMoved(j, at, mine)
 	}
-	o.adopt(j)
+	o.adoptJob(j)
 }
 
 // StorePending stores completed tasks and the ends of jobs, and reads what earlier
 // owners stored. It is called with every tick.
 func (o *Owner) StorePending() {
 	o.readPages()
-	o.endJobs()
-	o.rewritePages()
+	o.storeJobEnds()
+	o.upgradePages()
 	o.moveJobs()
 	o.flushPages()
-	o.rewrite()
+	o.upgradeRecords()
 }
 
 // CheckMachines looks after the machines. It is called with every tick.
 func (o *Owner) CheckMachines() {
 	o.checkMachines()
-	o.askWorkers()
+	o.probeWorkers()
 	o.placeDue = true
 }
 
@@ -201,11 +201,11 @@
 	held := make(map[string]bool, len(b.Machines)+len(b.Unreconciled))
 	for _, name := range b.Machines {
 		held[name] = true
-		o.take(name, false)
+		o.addMachine(name, false)
 	}
 	for _, name := range b.Unreconciled {
 		held[name] = true
-		o.take(name, true)
+		o.addMachine(name, true)
 	}
 	recalled := map[string]bool{}
 	for _, name := range b.Draining {
@@ -214,25 +214,25 @@
 	for name, m := range o.machines {
 		switch {
 		case held[name]:
-			m.recall = recalled[name]
-		case m.gave:
+			m.draining = recalled[name]
+		case m.released:
 			delete(o.machines, name)
-			o.orderDue = true
+			o.sortStale = true
 		default:
 			// A machine leaves a block without being given back only when
 			// the cloud has confirmed that it is gone.
-			o.machineGone(m)
+			o.removeMachine(m)
 		}
 	}
-	o.settle()
+	o.assignPartitions()
 	o.placeDue = true
-	o.releaseGuests(false)
+	o.answerPendingForeign(false)
 }
 
 // ReleasesMachines tells whether a machine of the block is to go back to the leader.
 func (o *Owner) ReleasesMachines() bool {
 	for _, m := range o.machines {
-		if m.gave {
+		if m.released {
 			return true
 		}
 	}
@@ -241,51 +241,51 @@
 
 // take takes a machine into the block. A dirty one may run tasks that this
 // controller knows nothing of.
-func (o *Owner) take(name string, dirty bool) {
+func (o *Owner) addMachine(name string, dirty bool) {
 	if o.machines[name] != nil {
 		return
 	}
-	m := &machine{name: name, runs: map[runKey]*run{}, heard: o.loop.Now, idle: o.loop.Now,
-		dirty: dirty, fence: o.hold.Token(0)}
+	m := &machine{name: name, attempts: map[attemptKey]*attempt{}, lastHeartbeat: o.loop.Now, idleSince: o.loop.Now,
+		needsReconciliation: dirty, firstToken: o.blockLease.Token(0)}
 	if len(o.machines) == 0 {
-		o.reported = o.loop.Now // from now on there is something to hear
+		o.lastHeartbeat = o.loop.Now // from now on there is something to hear
 	}
 	o.machines[name] = m
-	o.orderDue = true
+	o.sortStale = true
 	if dirty {
-		o.hold.RequestRenewal() // the leader can tell how to reach it
+		o.blockLease.RequestRenewal() // the leader can tell how to reach it
 	}
-	g := o.guests[name]
+	g := o.foreignWorkers[name]
 	if g == nil {
 		return
 	}
 	if !dirty {
-		m.kind, m.zone, m.spot = g.rep.Type, g.rep.Zone, g.rep.Spot
+		m.machineType, m.zone, m.spot = g.heartbeat.Type, g.heartbeat.Zone, g.heartbeat.Spot
 	}
-	o.introduce(m, &peerpb.MachineInfo{Endpoint: g.rep.Endpoint, Type: g.rep.Type, Zone: g.rep.Zone, Spot: g.rep.Spot, AgentEpoch: g.rep.AgentEpoch})
+	o.learnEndpoint(m, &peerpb.MachineInfo{Endpoint: g.heartbeat.Endpoint, Type: g.heartbeat.Type, Zone: g.heartbeat.Zone, Spot: g.heartbeat.Spot, AgentEpoch: g.heartbeat.AgentEpoch})
 }
 
 // settle takes over the homes that the lease value gives this controller.
-func (o *Owner) settle() {
+func (o *Owner) assignPartitions() {
 	homes := o.view.Lease.Partitions
-	for home := range o.homes {
+	for home := range o.partitions {
 		if homes[home] != o.view.Self {
-			delete(o.homes, home)
-			o.leave(home)
+			delete(o.partitions, home)
+			o.releasePartition(home)
 		}
 	}
 	gained := map[string]bool{}
 	for home, node := range homes {
-		if _, known := o.homes[home]; node == o.view.Self && !known {
-			o.homes[home], gained[home] = o.view.LeaseVersion, true
+		if _, known := o.partitions[home]; node == o.view.Self && !known {
+			o.partitions[home], gained[home] = o.view.LeaseVersion, true
 		}
 	}
 	if len(gained) == 0 {
 		return
 	}
 	for _, id := range cluster.SortedKeys(o.jobs) {
-		if j := o.jobs[id]; gained[j.home()] {
-			o.adopt(j)
+		if j := o.jobs[id]; gained[j.partition()] {
+			o.adoptJob(j)
 		}
 	}
 	o.readPages()
@@ -294,11 +294,11 @@
 // ReleaseBlock forgets all that the right to a block was the ground of.
 func (o *Owner) ReleaseBlock() {
 	clear(o.machines)
-	o.orderDue = true
+	o.sortStale = true
 	clear(o.used)
-	clear(o.homes)
+	clear(o.partitions)
 	for id, j := range o.jobs {
-		j.disown()
+		j.clearOwnerState()
 		if j.Ended {
 			delete(o.jobs, id)
 		}
--- a/internal/core/owner/pages.go
+++ b/internal/core/owner/pages.go
@@ -30,33 +30,33 @@
 	PagePrefix = "fp/"
 	// chunk is how many tasks one entry of a page covers; as base64 that is
 	// well below the smallest value limit met so far.
-	chunk = 4096
+	tasksPerEntry = 4096
 	// flushEvery spaces the writes of a page. Until completions are stored
 	// the workers keep them, so this only has to keep reports short.
-	flushEvery = 4 * time.Second
+	flushInterval = 4 * time.Second
 	// pageFill is how full a page is made, of the limit for values.
 	pageFill = 0.7
 )
 
 // page is one of this controller's pages.
 type page struct {
-	version uint64
-	form    int         // of the envelope that it is stored in
-	unknown wire.Fields // of a newer version
-	foreign bool        // stored in a form that is not known here: left alone
-	busy    bool
-	dirtyAt time.Time // since when something waits to be stored; zero: nothing
-	nextTry time.Time
-	entries map[string]int // with the bytes each may take
-	size    int
+	version       uint64
+	envelopeForm  int         // of the envelope that it is stored in
+	unknownFields wire.Fields // of a newer version
+	unreadable    bool        // stored in a form that is not known here: left alone
+	writing       bool
+	pendingSince  time.Time // since when something waits to be stored; zero: nothing
+	retryAt       time.Time
+	entries       map[string]int // with the bytes each may take
+	size          int
 }
 
 // entryKey names the stretch of a job that task i is in.
 func entryKey(id string, i int) string {
-	if i < chunk {
+	if i < tasksPerEntry {
 		return id
 	}
-	return id + "/" + strconv.Itoa(i/chunk)
+	return id + "/" + strconv.Itoa(i/tasksPerEntry)
 }
 
 // splitEntry takes an entry's name apart.
@@ -70,19 +70,19 @@
 }
 
 // noteDone puts a stretch of a job on a page, to be stored.
-func (o *Owner) noteDone(j *Job, i int) {
+func (o *Owner) queueCompletion(j *Job, i int) {
 	key := entryKey(j.Record.ID, i)
-	p := o.pageOf[key]
+	p := o.pageByEntry[key]
 	if p == nil {
-		tasks := min(j.Record.Tasks-i/chunk*chunk, chunk)
+		tasks := min(j.Record.Tasks-i/tasksPerEntry*tasksPerEntry, tasksPerEntry)
 		bytes := len(key) + (tasks/8+1)*4/3 + 12
 		p = o.pageFor(bytes)
 		p.entries[key] = bytes
 		p.size += bytes
-		o.pageOf[key] = p
+		o.pageByEntry[key] = p
 	}
-	if p.dirtyAt.IsZero() {
-		p.dirtyAt = o.loop.Now
+	if p.pendingSince.IsZero() {
+		p.pendingSince = o.loop.Now
 	}
 }
 
@@ -90,7 +90,7 @@
 func (o *Owner) pageFor(bytes int) *page {
 	most := int(pageFill * 1024 * o.view.Settings.Cluster.State.ValueKB)
 	for _, p := range o.pages {
-		if !p.foreign && (p.size == 0 || p.size+bytes <= most) {
+		if !p.unreadable && (p.size == 0 || p.size+bytes <= most) {
 			return p
 		}
 	}
@@ -102,13 +102,13 @@
 // dropEntries takes a job that is over off its pages. They are not written
 // for that: the next write leaves the job out.
 func (o *Owner) dropEntries(j *Job) {
-	for i := 0; i < j.Record.Tasks; i += chunk {
+	for i := 0; i < j.Record.Tasks; i += tasksPerEntry {
 		key := entryKey(j.Record.ID, i)
-		delete(o.facts, key)
-		if p := o.pageOf[key]; p != nil {
+		delete(o.completedByEntry, key)
+		if p := o.pageByEntry[key]; p != nil {
 			p.size -= p.entries[key]
 			delete(p.entries, key)
-			delete(o.pageOf, key)
+			delete(o.pageByEntry, key)
 		}
 	}
 }
@@ -116,7 +116,7 @@
 // flushPages stores what has waited long enough.
 func (o *Owner) flushPages() {
 	for n, p := range o.pages {
-		if p.busy || p.dirtyAt.IsZero() || o.loop.Now.Sub(p.dirtyAt) < flushEvery || o.loop.Now.Before(p.nextTry) {
+		if p.writing || p.pendingSince.IsZero() || o.loop.Now.Sub(p.pendingSince) < flushInterval || o.loop.Now.Before(p.retryAt) {
 			continue
 		}
 		o.writePage(n, p)
@@ -128,57 +128,57 @@
 	key := PagePrefix + o.view.Self + "/" + strconv.Itoa(n)
 	value := make(map[string]string, len(p.entries))
 	for entry := range p.entries {
-		raw := o.facts[entry]
+		raw := o.completedByEntry[entry]
 		id, k, _ := splitEntry(entry)
 		if j := o.jobs[id]; j != nil && j.done != nil {
-			raw = MergeCompleted(raw, j.bits(k))
+			raw = MergeCompleted(raw, j.completedBits(k))
 		}
-		o.facts[entry] = raw
+		o.completedByEntry[entry] = raw
 		value[entry] = base64.RawStdEncoding.EncodeToString(raw)
 	}
 	stored, form := o.pageValue(p, value)
 	written := make(map[string][]byte, len(value))
 	for entry := range value {
-		written[entry] = o.facts[entry]
+		written[entry] = o.completedByEntry[entry]
 	}
-	p.busy, p.dirtyAt = true, time.Time{}
+	p.writing, p.pendingSince = true, time.Time{}
 	o.loop.Emit(eventloop.StateTxn{
 		// Under the version it was based on: a late transaction of an earlier
 		// process, or an earlier try, cannot take anything back.
 		Txn: wire.Txn{If: []wire.Condition{{Key: key, Version: p.version}}, Then: []wire.Op{{Put: key, Value: stored}}},
 		ID: o.loop.Call(func(d eventloop.Completion) {
-			p.busy = false
+			p.writing = false
 			if d.Outcome == eventloop.Succeeded {
-				p.version, p.form = d.Txn.Revision, form
+				p.version, p.envelopeForm = d.Txn.Revision, form
 				for entry, raw := range written {
-					o.storedAt(entry, raw)
+					o.markStored(entry, raw)
 				}
 				return
 			}
-			p.nextTry = o.loop.Now.Add(time.Second)
+			p.retryAt = o.loop.Now.Add(time.Second)
 			if d.Outcome != eventloop.Conflict && d.Outcome != eventloop.NoAnswer {
-				p.dirtyAt = o.loop.Now.Add(-flushEvery)
+				p.pendingSince = o.loop.Now.Add(-flushInterval)
 				return
 			}
 			// Somebody else's version, or perhaps this one and only the answer was lost.
-			p.busy = true
+			p.writing = true
 			o.loop.Emit(eventloop.StateGet{Key: key, ID: o.loop.Call(func(d eventloop.Completion) {
-				p.busy = false
+				p.writing = false
 				stored := false
 				switch d.Outcome {
 				case eventloop.Succeeded:
 					env, entries, err := o.readPage(key, d.Pair.Value)
-					p.version, p.form, p.unknown = d.Pair.Version, env.Form, env.Unknown
+					p.version, p.envelopeForm, p.unknownFields = d.Pair.Version, env.Form, env.Unknown
 					if err != nil {
-						o.abandon(p)
+						o.abandonPage(p)
 						return
 					}
-					stored = o.foundStored(written, entries)
+					stored = o.confirmStored(written, entries)
 				case eventloop.NotFound:
 					p.version = 0
 				}
 				if !stored {
-					p.dirtyAt = o.loop.Now.Add(-flushEvery)
+					p.pendingSince = o.loop.Now.Add(-flushInterval)
 				}
 			})})
 		}),
@@ -187,12 +187,12 @@
 
 // foundStored takes what a page was found to hold for stored, and tells whether that is
 // all that was written, but for jobs that are over.
-func (o *Owner) foundStored(written map[string][]byte, entries map[string]string) bool {
+func (o *Owner) confirmStored(written map[string][]byte, entries map[string]string) bool {
 	whole := true
 	for _, entry := range cluster.SortedKeys(written) {
 		found, err := base64.RawStdEncoding.DecodeString(entries[entry])
 		if err == nil {
-			o.storedAt(entry, found)
+			o.markStored(entry, found)
 		}
 		id, _, _ := splitEntry(entry)
 		j := o.jobs[id]
@@ -202,8 +202,8 @@
 }
 
 // bits returns the completed tasks of stretch k, a bit a task.
-func (j *Job) bits(k int) []byte {
-	from, to := k*chunk, min(j.Record.Tasks, (k+1)*chunk)
+func (j *Job) completedBits(k int) []byte {
+	from, to := k*tasksPerEntry, min(j.Record.Tasks, (k+1)*tasksPerEntry)
 	raw := make([]byte, (max(0, to-from)+7)/8)
 	for i := from; i < to; i++ {
 		if j.isDone(i) {
@@ -226,7 +226,7 @@
 }
 
 // storedAt notes that the tasks of an entry are stored as completed.
-func (o *Owner) storedAt(entry string, raw []byte) {
+func (o *Owner) markStored(entry string, raw []byte) {
 	id, k, ok := splitEntry(entry)
 	j := o.jobs[id]
 	if !ok || j == nil || j.stored == nil {
@@ -234,7 +234,7 @@
 	}
 	for b, v := range raw {
 		for ; v != 0; v &= v - 1 {
-			if i := k*chunk + b*8 + bits.TrailingZeros8(v); i < j.Record.Tasks {
+			if i := k*tasksPerEntry + b*8 + bits.TrailingZeros8(v); i < j.Record.Tasks {
 				j.stored[i/64] |= 1 << (i % 64)
 			}
 		}
@@ -260,7 +260,7 @@
 			delete(entries, entry)
 			continue
 		}
-		o.facts[entry] = MergeCompleted(o.facts[entry], raw)
+		o.completedByEntry[entry] = MergeCompleted(o.completedByEntry[entry], raw)
 	}
 	return env, entries, nil
 }
@@ -268,45 +268,45 @@
 // readPages reads all pages of all controllers for the jobs that wait for it:
 // jobs taken over, and all of them after a start.
 func (o *Owner) readPages() {
-	if o.pagesBusy || o.loop.Now.Before(o.pagesNext) {
+	if o.readingPages || o.loop.Now.Before(o.nextPageRead) {
 		return
 	}
 	// An earlier process's pages are known only once they have been read.
-	waiting := !o.pagesRead && o.view.FeatureOpen(feature.Envelope)
+	waiting := !o.pagesLoaded && o.view.FeatureOpen(feature.Envelope)
 	for _, j := range o.jobs {
-		waiting = waiting || (j.reading && !j.Ended)
+		waiting = waiting || (j.awaitsPages && !j.Ended)
 	}
 	if !waiting {
 		return
 	}
-	o.pagesBusy = true
-	o.pageReads++
-	read := o.pageReads
+	o.readingPages = true
+	o.pageReadsBegun++
+	read := o.pageReadsBegun
 	var next func(after string)
 	next = func(after string) {
 		o.loop.Emit(eventloop.StateRange{Prefix: PagePrefix, After: after, ID: o.loop.Call(func(d eventloop.Completion) {
 			if d.Outcome != eventloop.Succeeded {
-				o.pagesBusy = false
-				o.pagesNext = o.loop.Now.Add(300 * time.Millisecond)
+				o.readingPages = false
+				o.nextPageRead = o.loop.Now.Add(300 * time.Millisecond)
 				return
 			}
 			for _, p := range d.Page.Pairs {
 				env, entries, err := o.readPage(p.Key, p.Value)
-				o.ownPage(p.Key, p.Version, env, entries, err)
+				o.adoptPage(p.Key, p.Version, env, entries, err)
 				after = p.Key
 			}
 			if d.Page.More && len(d.Page.Pairs) > 0 {
 				next(after)
 				return
 			}
-			o.pagesBusy, o.pagesRead = false, true
+			o.readingPages, o.pagesLoaded = false, true
 			for _, id := range cluster.SortedKeys(o.jobs) {
 				// Only a read that began after the job became this
 				// controller's shows all that earlier owners stored.
-				if j := o.jobs[id]; j.reading && j.readFrom <= read && !j.Ended && o.Owns(j) {
-					j.reading = false
-					o.takeFacts(j)
-					o.jobReady(j)
+				if j := o.jobs[id]; j.awaitsPages && j.pageReadNeeded <= read && !j.Ended && o.Owns(j) {
+					j.awaitsPages = false
+					o.applyCompleted(j)
+					o.markJobReady(j)
 				}
 			}
 		})})
@@ -315,7 +315,7 @@
 }
 
 // ownPage takes up a page that an earlier process of this controller wrote.
-func (o *Owner) ownPage(key string, version uint64, env wire.Envelope, entries map[string]string, err error) {
+func (o *Owner) adoptPage(key string, version uint64, env wire.Envelope, entries map[string]string, err error) {
 	num, ok := strings.CutPrefix(key, PagePrefix+o.view.Self+"/")
 	n, bad := strconv.Atoi(num)
 	if !ok || bad != nil || n < 0 || n > 1000 {
@@ -325,42 +325,42 @@
 		o.pages = append(o.pages, &page{entries: map[string]int{}})
 	}
 	p := o.pages[n]
-	if p.version != 0 || p.busy {
+	if p.version != 0 || p.writing {
 		return // known already
 	}
-	p.version, p.form, p.unknown = version, env.Form, env.Unknown
+	p.version, p.envelopeForm, p.unknownFields = version, env.Form, env.Unknown
 	if err != nil {
-		o.abandon(p)
+		o.abandonPage(p)
 	}
 	for entry, text := range entries {
-		if o.pageOf[entry] == nil {
+		if o.pageByEntry[entry] == nil {
 			p.entries[entry] = len(entry) + len(text) + 12
 			p.size += p.entries[entry]
-			o.pageOf[entry] = p
+			o.pageByEntry[entry] = p
 		}
 	}
 }
 
 // abandon leaves a page alone that is stored in a form that is not known here: to
 // write over it would lose what it says. What was to be on it goes elsewhere.
-func (o *Owner) abandon(p *page) {
+func (o *Owner) abandonPage(p *page) {
 	entries := cluster.SortedKeys(p.entries)
-	p.foreign, p.dirtyAt, p.entries, p.size = true, time.Time{}, map[string]int{}, 0
+	p.unreadable, p.pendingSince, p.entries, p.size = true, time.Time{}, map[string]int{}, 0
 	for _, entry := range entries {
-		delete(o.pageOf, entry)
+		delete(o.pageByEntry, entry)
 		id, k, ok := splitEntry(entry)
 		if j := o.jobs[id]; ok && j != nil && !j.Ended && o.Owns(j) {
-			o.noteDone(j, k*chunk)
+			o.queueCompletion(j, k*tasksPerEntry)
 		}
 	}
 }
 
 // takeFacts marks the tasks of a job that are stored as completed.
-func (o *Owner) takeFacts(j *Job) {
-	for i := 0; i < j.Record.Tasks; i += chunk {
+func (o *Owner) applyCompleted(j *Job) {
+	for i := 0; i < j.Record.Tasks; i += tasksPerEntry {
 		key := entryKey(j.Record.ID, i)
-		raw := o.facts[key]
-		o.storedAt(key, raw)
+		raw := o.completedByEntry[key]
+		o.markStored(key, raw)
 		for b, v := range raw {
 			for ; v != 0; v &= v - 1 {
 				if t := i + b*8 + bits.TrailingZeros8(v); t < j.Record.Tasks {
--- a/internal/core/owner/remember.go
+++ b/internal/core/owner/remember.go
@@ -11,7 +11,7 @@
 // What an owner knows beside the state service, for when that has lost data.
 
 // Token is the highest token that any worker has shown here.
-func (o *Owner) Token() uint64 { return o.token }
+func (o *Owner) Token() uint64 { return o.highestToken }
 
 // Records are what is to be stored for all jobs that are known and not over. Each
 // counts as older than any home, so that whoever owns it looks at the machines
@@ -37,14 +37,14 @@
 
 // CompletedTasks are the completed tasks of jobs that are not over, by entry of a page.
 func (o *Owner) CompletedTasks() map[string][]byte {
-	out := maps.Clone(o.facts)
+	out := maps.Clone(o.completedByEntry)
 	for id, j := range o.jobs {
 		if j.Ended || j.done == nil {
 			continue
 		}
-		for i := 0; i < j.Record.Tasks; i += chunk {
+		for i := 0; i < j.Record.Tasks; i += tasksPerEntry {
 			key := entryKey(id, i)
-			if raw := MergeCompleted(out[key], j.bits(i/chunk)); len(raw) > 0 {
+			if raw := MergeCompleted(out[key], j.completedBits(i/tasksPerEntry)); len(raw) > 0 {
 				out[key] = raw
 			}
 		}
--- a/internal/core/owner/rewrite.go
+++ b/internal/core/owner/rewrite.go
@@ -20,55 +20,55 @@
 const (
 	// rewritePart is the part of the write limit that rewriting may take, of
 	// all controllers together.
-	rewritePart = 0.2
+	upgradeWriteFraction = 0.2
 	// rewriteLook spaces the looks at all jobs for records to rewrite.
-	rewriteLook = 2 * time.Second
+	upgradeScanInterval = 2 * time.Second
 	// rewriteBytes bounds a transaction of rewrites; the service takes 64 KiB.
-	rewriteBytes = 40 << 10
+	maxUpgradeBytes = 40 << 10
 	// rewriteRest is for how long users who found no room have it to
 	// themselves.
-	rewriteRest = 5 * time.Second
+	userWritePriority = 5 * time.Second
 )
 
 // rewriting is what is left to rewrite.
-type rewriting struct {
-	queue  []string // jobs, in order
-	lookAt time.Time
-	busy   bool
-	room   float64 // changes that may be made now
-	filled time.Time
-	single int             // how many are to be tried one by one
-	whole  map[string]bool // records that do not fit with their envelope
+type recordUpgrade struct {
+	queue         []string // jobs, in order
+	nextScan      time.Time
+	inFlight      bool
+	budget        float64 // changes that may be made now
+	budgetUpdated time.Time
+	singleSteps   int             // how many are to be tried one by one
+	oversized     map[string]bool // records that do not fit with their envelope
 }
 
 // OutdatedRecords is how many records of this controller's homes are in an earlier form.
-func (o *Owner) OutdatedRecords() int { return len(o.rewriting.queue) }
+func (o *Owner) OutdatedRecords() int { return len(o.upgrade.queue) }
 
 // plain tells whether a job's record is one to rewrite.
-func (o *Owner) plain(j *Job) bool {
-	return j != nil && j.form < wire.EnvelopeForm && !j.Ended && o.Owns(j) && !o.rewriting.whole[j.Record.ID]
+func (o *Owner) needsUpgrade(j *Job) bool {
+	return j != nil && j.envelopeForm < wire.EnvelopeForm && !j.Ended && o.Owns(j) && !o.upgrade.oversized[j.Record.ID]
 }
 
 // rewrite rewrites a few records, if users leave room for that.
-func (o *Owner) rewrite() {
-	r := &o.rewriting
-	if !o.view.FeatureOpen(feature.Envelope) || !o.hold.MayStart(o.loop.Now) {
+func (o *Owner) upgradeRecords() {
+	r := &o.upgrade
+	if !o.view.FeatureOpen(feature.Envelope) || !o.blockLease.MayStart(o.loop.Now) {
 		return
 	}
 	limits := o.view.Settings.Cluster.State
-	rate := rewritePart * limits.WriteRPS / float64(o.view.Settings.Controllers())
+	rate := upgradeWriteFraction * limits.WriteRPS / float64(o.view.Settings.Controllers())
 	// A transaction takes what a second allows, no more: one of twenty changes
 	// waited two seconds for its turn in the write limit, in the way of every
 	// submission behind it, and was then given up.
 	most := max(1, min(limits.TxnOps, int(rate)))
-	if !r.filled.IsZero() {
-		r.room = min(float64(most), r.room+rate*o.loop.Now.Sub(r.filled).Seconds())
+	if !r.budgetUpdated.IsZero() {
+		r.budget = min(float64(most), r.budget+rate*o.loop.Now.Sub(r.budgetUpdated).Seconds())
 	}
-	r.filled = o.loop.Now
-	if len(r.queue) == 0 && !o.loop.Now.Before(r.lookAt) {
-		r.lookAt = o.loop.Now.Add(rewriteLook)
+	r.budgetUpdated = o.loop.Now
+	if len(r.queue) == 0 && !o.loop.Now.Before(r.nextScan) {
+		r.nextScan = o.loop.Now.Add(upgradeScanInterval)
 		for id, j := range o.jobs {
-			if o.plain(j) {
+			if o.needsUpgrade(j) {
 				r.queue = append(r.queue, id)
 			}
 		}
@@ -77,36 +77,36 @@
 			o.log.Info("records to rewrite", "jobs", len(r.queue))
 		}
 	}
-	if r.busy || len(r.queue) == 0 {
+	if r.inFlight || len(r.queue) == 0 {
 		return
 	}
 	pending, short := o.records.UserWrites()
-	if pending > 0 || (!short.IsZero() && o.loop.Now.Sub(short) < rewriteRest) {
+	if pending > 0 || (!short.IsZero() && o.loop.Now.Sub(short) < userWritePriority) {
 		return
 	}
 	n := min(most, len(r.queue))
-	if int(r.room) < n {
+	if int(r.budget) < n {
 		return
 	}
-	if r.single > 0 {
-		r.single, n = r.single-1, 1
+	if r.singleSteps > 0 {
+		r.singleSteps, n = r.singleSteps-1, 1
 	}
 	var batch []*Job
 	var txn wire.Txn
 	bytes := 0
 	for len(r.queue) > 0 && len(batch) < n {
 		j := o.jobs[r.queue[0]]
-		if !o.plain(j) || j.EndInFlight {
+		if !o.needsUpgrade(j) || j.EndInFlight {
 			r.queue = r.queue[1:]
 			continue
 		}
-		value, size, err := o.wrapped(j)
+		value, size, err := o.envelopeOf(j)
 		if err != nil {
 			o.log.Error("record to rewrite", "job", j.Record.ID, "err", err)
 			r.skip(j.Record.ID)
 			continue
 		}
-		if bytes += size; bytes > rewriteBytes && len(batch) > 0 {
+		if bytes += size; bytes > maxUpgradeBytes && len(batch) > 0 {
 			break
 		}
 		key := o.records.JobKey(j.Record.ID)
@@ -118,56 +118,56 @@
 	if len(batch) == 0 {
 		return
 	}
-	r.busy = true
-	r.room -= float64(len(batch))
+	r.inFlight = true
+	r.budget -= float64(len(batch))
 	o.loop.Emit(eventloop.StateTxn{Txn: txn, ID: o.loop.Call(func(d eventloop.Completion) {
-		r.busy = false
+		r.inFlight = false
 		switch {
 		case d.Outcome == eventloop.Succeeded:
 			for _, j := range batch {
 				// Unless the watch was faster, or a change since.
 				if d.Txn.Revision > j.Version {
-					j.Version, j.form = d.Txn.Revision, wire.EnvelopeForm
+					j.Version, j.envelopeForm = d.Txn.Revision, wire.EnvelopeForm
 				}
 			}
 		case d.Outcome == eventloop.Rejected && len(batch) == 1:
 			r.skip(batch[0].Record.ID)
 			o.log.Info("record stays in its earlier form, its envelope does not fit", "job", batch[0].Record.ID)
 		case d.Outcome == eventloop.Rejected:
-			r.single = len(batch) // to find which
+			r.singleSteps = len(batch) // to find which
 		}
 		// Whatever was not rewritten, or perhaps was, comes up with the next
 		// look, with its version as the watch then has shown it.
-		r.lookAt = o.loop.Now.Add(rewriteLook)
+		r.nextScan = o.loop.Now.Add(upgradeScanInterval)
 	})})
 }
 
-func (r *rewriting) skip(id string) {
-	if r.whole == nil {
-		r.whole = map[string]bool{}
+func (r *recordUpgrade) skip(id string) {
+	if r.oversized == nil {
+		r.oversized = map[string]bool{}
 	}
-	r.whole[id] = true
+	r.oversized[id] = true
 	r.queue = slices.DeleteFunc(r.queue, func(q string) bool { return q == id })
 }
 
 // wrapped returns a job's record in its envelope, and about how large it is.
-func (o *Owner) wrapped(j *Job) (value any, size int, err error) {
+func (o *Owner) envelopeOf(j *Job) (value any, size int, err error) {
 	rec, err := wire.WithFields(j.Record, j.Record.Unknown)
 	if err != nil {
 		return nil, 0, err
 	}
-	env, err := wire.Wrap(rec, o.view.Lease.Generation, j.first)
+	env, err := wire.Wrap(rec, o.view.Lease.Generation, j.firstVersion)
 	return env, len(env.Value)*5/4 + 64, err
 }
 
 // rewritePages has pages of an earlier form stored again, once.
-func (o *Owner) rewritePages() {
+func (o *Owner) upgradePages() {
 	if !o.view.FeatureOpen(feature.Envelope) {
 		return
 	}
 	for _, p := range o.pages {
-		if p.version != 0 && p.form < wire.EnvelopeForm && !p.foreign && p.dirtyAt.IsZero() && !p.busy {
-			p.dirtyAt = o.loop.Now
+		if p.version != 0 && p.envelopeForm < wire.EnvelopeForm && !p.unreadable && p.pendingSince.IsZero() && !p.writing {
+			p.pendingSince = o.loop.Now
 		}
 	}
 }
@@ -182,7 +182,7 @@
 		o.log.Error("page of completed tasks", "err", err)
 		return entries, 0
 	}
-	env.Unknown = p.unknown
+	env.Unknown = p.unknownFields
 	value, err := env.Stored()
 	if err != nil {
 		o.log.Error("page of completed tasks", "err", err)
--- a/internal/core/owner/rewrite_test.go
+++ b/internal/core/owner/rewrite_test.go
@@ -18,8 +18,8 @@
 	rec := wire.LeaseRecord{Form: leasevalue.Form, Level: 2, Confirmed: 2, Generation: 3, Term: 1, Leader: "n1", Partitions: map[string]string{"red": "n0"},
 		Blocks: map[string]wire.Block{"n0": {Grant: 1 << 18, Incarnation: 7}}}
 	o, now := newOwner(t, []config.Team{{Name: "red"}}, rec)
-	o.hold.RecordRenewal(now)
-	o.hold.Renewed(wire.Block{Grant: 1 << 18, Renewal: 1})
+	o.blockLease.RecordRenewal(now)
+	o.blockLease.Renewed(wire.Block{Grant: 1 << 18, Renewal: 1})
 	for i := range 5 {
 		rec := wire.JobRecord{Job: wire.Job{ID: fmt.Sprintf("wk-%06d", i), Team: "red", Shape: wire.Array, Priority: "standard", Tasks: 1, CPUs: 1},
 			Unknown: wire.Fields{"later": []byte{0x01}}}
@@ -33,7 +33,7 @@
 	for range 100 {
 		now = now.Add(150 * time.Millisecond)
 		o.loop.Begin(now)
-		o.rewrite()
+		o.upgradeRecords()
 		for _, e := range o.loop.Effects() {
 			if x, ok := e.(eventloop.StateTxn); ok {
 				return x, now
@@ -70,7 +70,7 @@
 	// the job is as old as it was.
 	b, _ := newOwner(t, []config.Team{{Name: "red"}}, wire.LeaseRecord{Term: 1, Leader: "n1", Partitions: map[string]string{"red": "n0"},
 		Blocks: map[string]wire.Block{"n0": {Grant: 1 << 18, Incarnation: 7}}})
-	b.homes["red"] = 150
+	b.partitions["red"] = 150
 	b.ApplyJob(wire.JobRecord{Job: wire.Job{ID: "wk-000001", Team: "red", Shape: wire.Array, Tasks: 1, CPUs: 1}}, RecordInfo{Version: 200, FirstVersion: 101, Form: 1})
 	if j := b.Job("wk-000001"); j.ready {
 		t.Error("a job that may run is taken for a new one")
@@ -114,7 +114,7 @@
 func TestForeignPageIsLeftAlone(t *testing.T) {
 	o, now := rewriter(t)
 	o.pages = append(o.pages, &page{version: 3, entries: map[string]int{"wk-000001": 20}, size: 20})
-	o.pageOf["wk-000001"] = o.pages[0]
+	o.pageByEntry["wk-000001"] = o.pages[0]
 	future, err := wire.Encode(map[string]any{"f": wire.EnvelopeForm + 1})
 	if err != nil {
 		t.Fatal(err)
@@ -123,7 +123,7 @@
 	if err == nil {
 		t.Fatal("read")
 	}
-	o.abandon(o.pages[0])
+	o.abandonPage(o.pages[0])
 	o.loop.Begin(now.Add(time.Minute))
 	o.flushPages()
 	for _, e := range o.loop.Effects() {
@@ -131,7 +131,7 @@
 			t.Errorf("writes %s", x.Txn.Then[0].Put)
 		}
 	}
-	if p := o.pageOf["wk-000001"]; p == nil || p == o.pages[0] {
+	if p := o.pageByEntry["wk-000001"]; p == nil || p == o.pages[0] {
 		t.Error("what is completed has no page any more")
 	}
 }
@@ -146,9 +146,9 @@
 		if err != nil || len(entries) > 0 {
 			t.Errorf("%s: %v, %v", name, entries, err)
 		}
-		o.ownPage("fp/n0/0", 9, env, entries, err)
-		if p := o.pages[0]; p.foreign || p.version != 9 {
-			t.Errorf("%s: left alone: %v, version %d", name, p.foreign, p.version)
+		o.adoptPage("fp/n0/0", 9, env, entries, err)
+		if p := o.pages[0]; p.unreadable || p.version != 9 {
+			t.Errorf("%s: left alone: %v, version %d", name, p.unreadable, p.version)
 		}
 	}
 }
@@ -160,9 +160,9 @@
 	for _, carriedOut := range []bool{true, false} {
 		o, now := rewriter(t)
 		j := o.jobs["wk-000001"]
-		j.reading, j.ready = false, true
+		j.awaitsPages, j.ready = false, true
 		o.markDone(j, 0)
-		o.noteDone(j, 0)
+		o.queueCompletion(j, 0)
 		var txn eventloop.StateTxn
 		var get eventloop.StateGet
 		effects := func(at time.Time, f func()) (writes int) {
--- a/internal/core/owner/tell.go
+++ b/internal/core/owner/tell.go
@@ -17,10 +17,10 @@
 	// starved is how long a job's tasks may wait without any of them being
 	// started before machines are rented for all of them. The fleet may be
 	// busy with work that never ends, or have no machine that they may use.
-	starved = 75 * time.Second
+	starvedAfter = 75 * time.Second
 	// stuck is how long nothing of a class may be started before its waiting
 	// work counts as starved rather than queued.
-	stuck = 15 * time.Second
+	classStuckAfter = 15 * time.Second
 )
 
 // FillRenewal tells the leader, in a renewal, of machines, waiting work and use.
@@ -30,36 +30,36 @@
 	for _, name := range cluster.SortedKeys(o.machines) {
 		m := o.machines[name]
 		switch {
-		case m.gave:
+		case m.released:
 			gave = append(gave, name)
-		case m.lost:
+		case m.unreachable:
 			lost = append(lost, name)
 		}
-		if m.endpoint == "" && !m.gave {
+		if m.endpoint == "" && !m.released {
 			unknown = append(unknown, name)
 		}
 		if m.spot && o.usable(m) {
 			r.FreeSpotCpus += max(0, m.free().CPUs)
 		}
-		if !m.spot && m.bound() {
+		if !m.spot && m.runsOnDemandOnlyTasks() {
 			bound = append(bound, name)
 		}
-		u := &peerpb.MachineUse{Name: name, Quarantined: m.bad, Departing: !m.gone.IsZero() || m.missed}
-		if !m.idle.IsZero() && m.session != 0 {
-			u.IdleS = o.loop.Now.Sub(m.idle).Seconds()
+		u := &peerpb.MachineUse{Name: name, Quarantined: m.quarantined, Departing: !m.reclaimAt.IsZero() || m.suspected}
+		if !m.idleSince.IsZero() && m.agentEpoch != 0 {
+			u.IdleS = o.loop.Now.Sub(m.idleSince).Seconds()
 		}
 		if u.Quarantined || u.Departing || u.IdleS > 1 {
 			r.MachineUse = append(r.MachineUse, u)
 		}
 	}
-	for _, name := range cluster.SortedKeys(o.guests) {
-		g := o.guests[name]
-		if !o.counts(g) {
+	for _, name := range cluster.SortedKeys(o.foreignWorkers) {
+		g := o.foreignWorkers[name]
+		if !o.provesAlive(g) {
 			continue
 		}
 		if o.view.HolderOf(name) == "" {
-			r.KnownMachines = append(r.KnownMachines, &peerpb.MachineInfo{Name: name, Endpoint: g.rep.Endpoint,
-				Type: g.rep.Type, Zone: g.rep.Zone, Spot: g.rep.Spot, AgentEpoch: g.rep.AgentEpoch})
+			r.KnownMachines = append(r.KnownMachines, &peerpb.MachineInfo{Name: name, Endpoint: g.heartbeat.Endpoint,
+				Type: g.heartbeat.Type, Zone: g.heartbeat.Zone, Spot: g.heartbeat.Spot, AgentEpoch: g.heartbeat.AgentEpoch})
 		} else {
 			heard = append(heard, name)
 		}
@@ -73,7 +73,7 @@
 		for kind, t := range o.view.MachineTypes {
 			if len(j.Record.Types) == 0 || slices.Contains(j.Record.Types, kind) {
 				if j.need().Fits(cluster.MachineSize(t)) {
-					r.Waiting[kind] += int32(j.tries())
+					r.Waiting[kind] += int32(j.startableTasks())
 				}
 			}
 		}
@@ -84,28 +84,28 @@
 }
 
 // demandMost bounds the groups of waiting tasks that a renewal carries.
-const demandMost = 80
+const maxDemandGroups = 80
 
 // demand groups the tasks without a place, for the leader, best first.
 func (o *Owner) demand() []*peerpb.Demand {
 	var list []sched.Demand
 	for _, j := range o.readyJobs() {
-		n := o.allowance(j, j.tries())
+		n := o.tasksWithinLimit(j, j.startableTasks())
 		if n == 0 {
 			continue
 		}
 		// Where others of its class are started it only waits for its turn:
 		// machines rented for all of it would come when the backlog is gone.
-		long := o.loop.Now.Sub(j.waitSince) > starved && o.loop.Now.Sub(o.class(j.Record.Class).startedAt) > stuck ||
+		long := o.loop.Now.Sub(j.waitSince) > starvedAfter && o.loop.Now.Sub(o.statsOf(j.Record.Class).lastStart) > classStuckAfter ||
 			o.overdue(j)
-		list = append(list, sched.Demand{Rank: j.Record.Rank(), Need: o.coarse(j), Types: j.Record.Types,
-			Zone: j.Record.Zone, Spot: j.Record.Spot, Count: n, RunS: o.runSeconds(&j.Record),
+		list = append(list, sched.Demand{Rank: j.Record.Rank(), Need: o.roundedNeed(j), Types: j.Record.Types,
+			Zone: j.Record.Zone, Spot: j.Record.Spot, Count: n, RunS: o.estimatedRunSeconds(&j.Record),
 			ProvisionAll: j.Record.Shape != wire.Array || long, Overdue: long,
-			SlackS: float64(o.dueStart(j)-o.loop.Now.UnixMilli()) / 1000})
+			SlackS: float64(o.latestStart(j)-o.loop.Now.UnixMilli()) / 1000})
 	}
 	var out []*peerpb.Demand
 	for _, d := range sched.MergeDemands(list) {
-		if len(out) == demandMost {
+		if len(out) == maxDemandGroups {
 			break
 		}
 		out = append(out, &peerpb.Demand{Rank: int32(d.Rank), Cpus: d.Need.CPUs, Gpus: d.Need.GPUs,
@@ -117,7 +117,7 @@
 
 // coarse is what a task of the job needs, rounded up unless that would keep
 // it from every machine it may use.
-func (o *Owner) coarse(j *Job) sched.Resources {
+func (o *Owner) roundedNeed(j *Job) sched.Resources {
 	rough := sched.RoundUp(j.need())
 	for kind, t := range o.view.MachineTypes {
 		if (len(j.Record.Types) == 0 || slices.Contains(j.Record.Types, kind)) && j.need().Fits(cluster.MachineSize(t)) && !rough.Fits(cluster.MachineSize(t)) {
@@ -128,7 +128,7 @@
 }
 
 // imagesMost bounds the images that a controller tells of.
-const imagesMost = 64
+const maxPublishedImages = 64
 
 // Capacity sums up what is free on this controller's machines.
 func (o *Owner) Capacity() cluster.Capacity {
@@ -140,15 +140,15 @@
 		free := max(0, m.free().CPUs)
 		r.Free += free
 		for i := range m.images {
-			if m.images[i].there && free > 0 {
+			if m.images[i].cached && free > 0 {
 				r.Images[m.images[i].name] += free
 			}
 		}
 	}
-	if len(r.Images) > imagesMost {
+	if len(r.Images) > maxPublishedImages {
 		names := cluster.SortedKeys(r.Images)
 		slices.SortStableFunc(names, func(a, b string) int { return cmp.Compare(r.Images[b], r.Images[a]) })
-		for _, n := range names[imagesMost:] {
+		for _, n := range names[maxPublishedImages:] {
 			delete(r.Images, n)
 		}
 	}
@@ -159,14 +159,14 @@
 // for, the part of them that may be on spot machines, and those of its block.
 func (o *Owner) ProcessorUse() (busy, spot, size float64) {
 	for _, m := range o.machines {
-		if m.lost || m.bad || m.gave {
+		if m.unreachable || m.quarantined || m.released {
 			continue
 		}
 		size += m.size.CPUs
 	}
 	for _, j := range o.jobs {
 		if o.Owns(j) && !j.Ended {
-			n := float64(len(j.runs)+j.tries()) * j.Record.CPUs
+			n := float64(len(j.attempts)+j.startableTasks()) * j.Record.CPUs
 			busy += n
 			if j.Record.Spot {
 				spot += n
@@ -178,20 +178,20 @@
 
 // EachMachine calls f for each machine of the block.
 func (o *Owner) EachMachine(f func(name string, idle time.Duration, bad, lost bool)) {
-	for _, m := range o.machineOrder() {
+	for _, m := range o.machinesByName() {
 		idle := time.Duration(0)
-		if !m.idle.IsZero() && m.session != 0 {
-			idle = o.loop.Now.Sub(m.idle)
+		if !m.idleSince.IsZero() && m.agentEpoch != 0 {
+			idle = o.loop.Now.Sub(m.idleSince)
 		}
-		f(m.name, idle, m.bad, m.lost)
+		f(m.name, idle, m.quarantined, m.unreachable)
 	}
 }
 
 // ForeignWorkers are the machines of others, or of nobody, that reported lately.
 func (o *Owner) ForeignWorkers() []string {
 	var out []string
-	for n, g := range o.guests {
-		if o.counts(g) {
+	for n, g := range o.foreignWorkers {
+		if o.provesAlive(g) {
 			out = append(out, n)
 		}
 	}
@@ -209,7 +209,7 @@
 			for _, g := range []servicereport.Group{{Kind: servicereport.Team, Name: j.Record.Team}, {Kind: servicereport.Class, Name: j.Record.Class}} {
 				w := out[g]
 				w.Jobs++
-				if !j.begun {
+				if !j.started {
 					w.LongestWait = max(w.LongestWait, j.age(o.loop.Now))
 				}
 				out[g] = w
@@ -229,28 +229,28 @@
 			continue
 		}
 		if s := seen(name); s != nil {
-			o.introduce(m, s)
+			o.learnEndpoint(m, s)
 		}
 	}
-	o.askWorkers()
+	o.probeWorkers()
 }
 
 // newsMost bounds the jobs whose counts a frame carries, some 20 bytes each.
-const newsMost = 4000
+const maxChangedCounts = 4000
 
 // ChangedCounts lists the counts of jobs that have changed since they were last told.
 func (o *Owner) ChangedCounts() []*peerpb.JobProgress {
 	var out []*peerpb.JobProgress
 	for _, j := range o.jobs {
 		done, running := j.Counts()
-		if o.Owns(j) && j.shown != [2]int{done, running} {
+		if o.Owns(j) && j.publishedCounts != [2]int{done, running} {
 			out = append(out, &peerpb.JobProgress{Id: j.Record.ID, Done: int32(done), Running: int32(running)})
 		}
 	}
 	slices.SortFunc(out, func(a, b *peerpb.JobProgress) int { return strings.Compare(a.GetId(), b.GetId()) })
-	out = out[:min(len(out), newsMost)]
+	out = out[:min(len(out), maxChangedCounts)]
 	for _, g := range out {
-		o.jobs[g.GetId()].shown = [2]int{int(g.GetDone()), int(g.GetRunning())}
+		o.jobs[g.GetId()].publishedCounts = [2]int{int(g.GetDone()), int(g.GetRunning())}
 	}
 	return out
 }
@@ -259,8 +259,8 @@
 // those that change: another controller has missed what was told before.
 func (o *Owner) ResendCounts() {
 	for _, j := range o.jobs {
-		if j.begun || j.shown != [2]int{} {
-			j.shown = untold
+		if j.started || j.publishedCounts != [2]int{} {
+			j.publishedCounts = countsUnpublished
 		}
 	}
 }
@@ -269,8 +269,8 @@
 func (o *Owner) LearnMachines(known []*peerpb.MachineInfo) {
 	for _, k := range known {
 		if m := o.machines[k.GetName()]; m != nil {
-			o.introduce(m, k)
+			o.learnEndpoint(m, k)
 		}
 	}
-	o.askWorkers()
+	o.probeWorkers()
 }
--- a/internal/core/owner/uses.go
+++ b/internal/core/owner/uses.go
@@ -17,28 +17,28 @@
 // judged by what all controllers tell of their use each second.
 
 // nothing is a ceiling of no processors; 0 would mean no limit.
-const nothing = 1e-9
+const noCPUs = 1e-9
 
 // ceilingOf is what the team's tasks may use on this controller's machines:
 // its limit, or this controller's share of that.
-func (o *Owner) ceilingOf(team string) sched.Limit {
+func (o *Owner) localLimit(team string) sched.Limit {
 	l := o.view.LimitOf(team)
 	shares, parted := o.view.Lease.Shares[team]
 	if !parted || !l.Any() {
 		return l
 	}
-	s := o.hold.UsableShare(team, shares[o.view.Self])
+	s := o.blockLease.UsableShare(team, shares[o.view.Self])
 	if l.CPUs > 0 {
-		l.CPUs = max(nothing, float64(s.CPUs))
+		l.CPUs = max(noCPUs, float64(s.CPUs))
 	}
 	if l.GPUs > 0 {
-		l.GPUs = max(nothing, float64(s.GPUs))
+		l.GPUs = max(noCPUs, float64(s.GPUs))
 	}
 	return l
 }
 
 // usedByAll is what a team's tasks use on all controllers, as far as known.
-func (o *Owner) usedByAll(team string) sched.Resources {
+func (o *Owner) clusterUse(team string) sched.Resources {
 	a := o.used[team]
 	for _, p := range o.view.Peers {
 		if u := p.TeamUse[team]; u != nil && o.loop.Now.Sub(p.LastFrame) < cluster.UsageMaxAge {
@@ -51,11 +51,11 @@
 
 // hidden is the room that tasks may take up which this controller does not
 // know: it counts against every limit.
-func (o *Owner) hidden() sched.Resources {
+func (o *Owner) unknownUse() sched.Resources {
 	var a sched.Resources
 	for _, m := range o.machines {
-		if m.unsure() {
-			a = a.Add(o.sizeAtMost(m), 1)
+		if m.mayRunUnknownTasks() {
+			a = a.Add(o.maxSize(m), 1)
 		}
 	}
 	return a
@@ -63,7 +63,7 @@
 
 // sizeAtMost is a machine's size, or that of the largest as long as its kind
 // is not known.
-func (o *Owner) sizeAtMost(m *machine) sched.Resources {
+func (o *Owner) maxSize(m *machine) sched.Resources {
 	if m.size.CPUs > 0 {
 		return m.size
 	}
@@ -106,29 +106,29 @@
 // ceilings lists the shares that this controller does not need in full while
 // others are short, with what it would do with, and what it has promised
 // already and no value honours yet.
-func (o *Owner) ceilings() map[string]wire.Share {
+func (o *Owner) sparableShares() map[string]wire.Share {
 	out := map[string]wire.Share{}
-	if !o.hold.Held() || len(o.view.Lease.Shares) == 0 {
+	if !o.blockLease.Held() || len(o.view.Lease.Shares) == 0 {
 		return out
 	}
 	own := o.TeamUse()
-	hidden := o.hidden()
+	hidden := o.unknownUse()
 	for _, team := range cluster.SortedKeys(o.view.Lease.Shares) {
 		shares := o.view.Lease.Shares[team]
 		limit, used := o.view.LimitOf(team), o.used[team].Add(hidden, 1)
 		cpus, cards := o.view.QuotaNeeds(o.view.Lease.Partitions, shares, team, own, o.loop.Now)
-		now := o.hold.UsableShare(team, shares[o.view.Self])
+		now := o.blockLease.UsableShare(team, shares[o.view.Self])
 		least := wire.Share{CPUs: int(math.Ceil(used.CPUs)), GPUs: int(math.Ceil(used.GPUs))}
 		next := now
-		if n, yes := o.spared(cpus, limit.CPUs, used.CPUs, now.CPUs, func(node string) int { return shares[node].CPUs }); yes {
+		if n, yes := o.loweredShare(cpus, limit.CPUs, used.CPUs, now.CPUs, func(node string) int { return shares[node].CPUs }); yes {
 			next.CPUs = n
 		}
-		if n, yes := o.spared(cards, limit.GPUs, used.GPUs, now.GPUs, func(node string) int { return shares[node].GPUs }); yes {
+		if n, yes := o.loweredShare(cards, limit.GPUs, used.GPUs, now.GPUs, func(node string) int { return shares[node].GPUs }); yes {
 			next.GPUs = n
 		}
-		if o.loop.Now.Sub(o.startedAt[team]) > gatherAfter {
-			next.CPUs = o.gathered(cpus, limit.CPUs, used.CPUs, next.CPUs, func(node string) int { return shares[node].CPUs })
-			next.GPUs = o.gathered(cards, limit.GPUs, used.GPUs, next.GPUs, func(node string) int { return shares[node].GPUs })
+		if o.loop.Now.Sub(o.lastStart[team]) > concentrateAfter {
+			next.CPUs = o.concentratedShare(cpus, limit.CPUs, used.CPUs, next.CPUs, func(node string) int { return shares[node].CPUs })
+			next.GPUs = o.concentratedShare(cards, limit.GPUs, used.GPUs, next.GPUs, func(node string) int { return shares[node].GPUs })
 		}
 		next.CPUs, next.GPUs = max(next.CPUs, min(least.CPUs, shares[o.view.Self].CPUs)), max(next.GPUs, min(least.GPUs, shares[o.view.Self].GPUs))
 		if next.CPUs < shares[o.view.Self].CPUs || next.GPUs < shares[o.view.Self].GPUs {
@@ -140,7 +140,7 @@
 
 // spared tells to what this controller can lower a ceiling for the sake of
 // others that are short.
-func (o *Owner) spared(needs map[string]quota.Need, limit, used float64, now int, of func(node string) int) (int, bool) {
+func (o *Owner) loweredShare(needs map[string]quota.Need, limit, used float64, now int, of func(node string) int) (int, bool) {
 	if limit <= 0 {
 		return 0, false
 	}
@@ -168,10 +168,10 @@
 // gatherAfter is for how long nothing of a team may have been started here before what
 // is left of its share goes to whom it is gathered for: on a busy fleet something ends
 // sooner, and makes it enough for what waits here.
-const gatherAfter = 10 * time.Second
+const concentrateAfter = 10 * time.Second
 
 // gathered is a ceiling without what is left of it, where that is gathered for another.
-func (o *Owner) gathered(needs map[string]quota.Need, limit, used float64, now int, of func(node string) int) int {
+func (o *Owner) concentratedShare(needs map[string]quota.Need, limit, used float64, now int, of func(node string) int) int {
 	if limit <= 0 {
 		return now
 	}
@@ -187,29 +187,29 @@
 
 // RequestQuotaRenewal asks for a renewal when there is something new to promise.
 func (o *Owner) RequestQuotaRenewal() {
-	for team, s := range o.ceilings() {
-		if s != o.hold.UsableShare(team, o.view.Lease.Shares[team][o.view.Self]) {
-			o.hold.RequestRenewal()
+	for team, s := range o.sparableShares() {
+		if s != o.blockLease.UsableShare(team, o.view.Lease.Shares[team][o.view.Self]) {
+			o.blockLease.RequestRenewal()
 		}
 	}
-	if len(o.yields()) > 0 {
-		o.hold.RequestRenewal()
+	if len(o.partitionsToHandOver()) > 0 {
+		o.blockLease.RequestRenewal()
 	}
 }
 
 // ReserveQuota puts what this controller can do without into a renewal, and keeps
 // to it from now on, whether or not the leader ever reads that.
 func (o *Owner) ReserveQuota(r *peerpb.Renewal) {
-	ceilings := o.ceilings()
-	r.Grant = o.hold.Grant()
+	ceilings := o.sparableShares()
+	r.Grant = o.blockLease.Grant()
 	for _, team := range cluster.SortedKeys(ceilings) {
 		s := ceilings[team]
-		o.hold.Reserve(r.GetNumber(), team, s)
+		o.blockLease.Reserve(r.GetNumber(), team, s)
 		r.Reservations = append(r.Reservations, &peerpb.QuotaReservation{Team: team, Cpus: int64(s.CPUs), Gpus: int64(s.GPUs)})
 	}
-	for _, home := range o.yields() {
-		o.hold.OfferHandover(r.GetNumber(), home)
-		o.offered[home] = o.loop.Now
+	for _, home := range o.partitionsToHandOver() {
+		o.blockLease.OfferHandover(r.GetNumber(), home)
+		o.handoverOfferedAt[home] = o.loop.Now
 		r.Handovers = append(r.Handovers, home)
 	}
 }
@@ -226,8 +226,8 @@
 }
 
 // allowance is how many of n tasks the team's limit leaves room for.
-func (o *Owner) allowance(j *Job, n int) int {
-	limit := o.ceilingOf(j.Record.Team)
+func (o *Owner) tasksWithinLimit(j *Job, n int) int {
+	limit := o.localLimit(j.Record.Team)
 	if !limit.Any() {
 		return n
 	}
--- a/internal/core/owner/yield.go
+++ b/internal/core/owner/yield.go
@@ -20,25 +20,25 @@
 
 // yieldEvery spaces the offers of one home: each of them holds up what waits in
 // it for a moment, whether or not anybody has use for it.
-const yieldEvery = 15 * time.Second
+const handoverInterval = 15 * time.Second
 
 // yields lists the homes that this controller would rather give up, and can.
-func (o *Owner) yields() []string {
-	if !o.hold.Held() {
+func (o *Owner) partitionsToHandOver() []string {
+	if !o.blockLease.Held() {
 		return nil
 	}
 	var out []string
 	for _, t := range o.view.Settings.Cluster.Teams {
-		mine, least := o.spread(t.Name)
+		mine, least := o.teamPartitions(t.Name)
 		if len(mine) < 2 || least < 0 || o.UnreconciledMachines() > 0 {
 			continue
 		}
 		for i := len(mine) - 1; i > 0; i-- {
-			if at, ok := o.offered[mine[i]]; ok && o.loop.Now.Sub(at) < yieldEvery {
+			if at, ok := o.handoverOfferedAt[mine[i]]; ok && o.loop.Now.Sub(at) < handoverInterval {
 				continue
 			}
-			waits, dry := o.dry(mine[i])
-			if dry && (len(mine)-least >= 2 || (waits > 0 && o.elsewhere(waits))) {
+			waits, dry := o.drained(mine[i])
+			if dry && (len(mine)-least >= 2 || (waits > 0 && o.hasRoomElsewhere(waits))) {
 				out = append(out, mine[i])
 				break // one at a time: the next look sees what came of it
 			}
@@ -50,7 +50,7 @@
 // spread returns the homes of a team that are here, the one for new jobs first,
 // and how many the reachable controller with the fewest has; -1 when there is
 // none.
-func (o *Owner) spread(team string) (mine []string, least int) {
+func (o *Owner) teamPartitions(team string) (mine []string, least int) {
 	homes := o.view.Lease.Partitions
 	for _, home := range cluster.Partitions(homes, team) {
 		if homes[home] == o.view.Self {
@@ -71,7 +71,7 @@
 func (o *Owner) UnreconciledMachines() int {
 	n := 0
 	for _, m := range o.machines {
-		if m.unsure() {
+		if m.mayRunUnknownTasks() {
 			n++
 		}
 	}
@@ -81,14 +81,14 @@
 // dry tells whether no task of a home is anywhere, and all that is completed of
 // it is stored, so that another owner would find it. waits is what its waiting
 // tasks need, in processors.
-func (o *Owner) dry(home string) (waits float64, dry bool) {
+func (o *Owner) drained(home string) (waits float64, dry bool) {
 	for _, j := range o.jobs {
-		if j.home() != home {
+		if j.partition() != home {
 			continue
 		}
 		// A completed task that is not stored would be run again: its worker
 		// reports to this controller only.
-		if len(j.runs) > 0 || j.EndInFlight || (!j.Ended && (!j.ready || j.doneCount == j.Record.Tasks || !j.allStored())) {
+		if len(j.attempts) > 0 || j.EndInFlight || (!j.Ended && (!j.ready || j.doneCount == j.Record.Tasks || !j.allStored())) {
 			return 0, false
 		}
 		waits += float64(len(j.queue)) * j.Record.CPUs
@@ -108,7 +108,7 @@
 
 // elsewhere tells whether work has no room here that it would have with another
 // controller.
-func (o *Owner) elsewhere(cpus float64) bool {
+func (o *Owner) hasRoomElsewhere(cpus float64) bool {
 	busy, _, size := o.ProcessorUse()
 	if busy <= size {
 		return false
@@ -124,14 +124,14 @@
 // leave forgets what this controller knows of a home's jobs as their owner. The
 // next owner goes on from what is stored, and so would this one, should the home
 // come back: what it remembers would be out of date by then.
-func (o *Owner) leave(home string) {
+func (o *Owner) releasePartition(home string) {
 	moved := 0
 	for _, j := range o.jobs {
-		if j.home() != home || j.Ended {
+		if j.partition() != home || j.Ended {
 			continue
 		}
 		moved++
-		j.disown()
+		j.clearOwnerState()
 	}
 	o.log.Info("home moved", "home", home, "to", o.view.Lease.Partitions[home], "jobs", moved)
 }
