--- /dev/null
+++ b/internal/core/owner/attempt.go
@@ -0,0 +1,164 @@
+package owner
+
+import (
+	"cmp"
+	"slices"
+	"time"
+
+	"fawncove/internal/wire"
+)
+
+// The states of an attempt before its worker has reported one. From then on the state is
+// what the worker reports: wire.TaskRunning, wire.TaskFlushing, ..., wire.TaskEnded.
+const (
+	attemptQueued = "queued" // bound to a machine, its start not yet sent
+	attemptSent   = ""       // its start is sent, the worker has not reported it
+)
+
+// delivery says how the start of an attempt was sent.
+type delivery int
+
+const (
+	notSent           delivery = iota
+	inHeartbeatAnswer          // executed before the worker's next heartbeat, or never
+	byCommand                  // a direct command: without an answer it may be executed late
+)
+
+// attempt is one try at a task on one machine.
+type attempt struct {
+	job     *Job // nil: the task belongs to no job known here, and is to be halted
+	index   int  // of the task in its job
+	task    string
+	number  uint64
+	machine *machine
+
+	state    string // attemptQueued, attemptSent, or as the worker reported
+	reported bool   // the worker has reported it
+	stopping bool   // it is to be halted
+	counted  bool   // in what its team uses
+
+	delivery         delivery
+	answeredSequence uint64 // inHeartbeatAnswer: the heartbeat that was answered
+	inFlight         bool   // byCommand: the command has no answer yet
+	voidFromToken    uint64 // byCommand: a worker that has seen this token ignores the start; 0: it was answered
+
+	placedAt  time.Time
+	startedAt time.Time
+}
+
+// attemptKey identifies an attempt on a machine.
+type attemptKey struct {
+	task   string
+	number uint64
+}
+
+func (a *attempt) key() attemptKey { return attemptKey{a.task, a.number} }
+
+// ended reports whether the worker has reported the end of the attempt.
+func (a *attempt) ended() bool { return a.state == wire.TaskEnded }
+
+// sortedAttempts returns the keys of a machine's attempts, oldest first.
+func sortedAttempts(m *machine) []attemptKey {
+	keys := make([]attemptKey, 0, len(m.attempts))
+	for k := range m.attempts {
+		keys = append(keys, k)
+	}
+	slices.SortFunc(keys, func(a, b attemptKey) int {
+		return cmp.Or(cmp.Compare(a.number, b.number), cmp.Compare(a.task, b.task))
+	})
+	return keys
+}
+
+// adoptAttempt takes up an attempt that the worker reports and that is not known here: one
+// that an earlier owner started, or one that belongs to no job known here or is superseded,
+// which is then halted.
+func (o *Owner) adoptAttempt(m *machine, t *wire.TaskStatus) *attempt {
+	a := &attempt{task: t.Task, number: t.Attempt, machine: m, stopping: true, placedAt: o.loop.Now, startedAt: o.loop.Now}
+	m.attempts[a.key()] = a
+	id, i, ok := splitTask(t.Task)
+	j := o.jobs[id]
+	if !ok || j == nil || j.attempts == nil || i >= j.Record.Tasks {
+		return a
+	}
+	a.index = i
+	if t.State == wire.TaskEnded {
+		a.job = j
+		return a
+	}
+	if other := j.attempts[i]; j.Ended || j.isDone(i) || other != nil {
+		if other != nil {
+			o.log.Error("task is on two machines", "task", t.Task, "machine", m.name, "other", other.machine.name)
+		}
+		return a
+	}
+	a.job, a.stopping, j.started = j, false, true
+	j.attempts[i] = a
+	o.countUse(a)
+	j.dequeue(i)
+	return a
+}
+
+// detach takes an attempt that is certainly not running off its job. The task waits again
+// if requeue says so and it is not completed.
+func (o *Owner) detach(a *attempt, requeue bool) {
+	o.uncountUse(a)
+	j := a.job
+	if j == nil || j.attempts[a.index] != a {
+		return
+	}
+	delete(j.attempts, a.index)
+	if requeue && !j.Ended && !j.isDone(a.index) && j.ready() {
+		j.enqueue(a.index)
+		if len(j.queue) == 1 {
+			j.waitSince = o.loop.Now
+		}
+	}
+	o.placement.due = true
+	if j.Ended && len(j.attempts) == 0 {
+		delete(o.jobs, j.Record.ID)
+	}
+}
+
+// dropAttempt removes an attempt that is certainly not running.
+func (o *Owner) dropAttempt(a *attempt) {
+	delete(a.machine.attempts, a.key())
+	o.detach(a, true)
+}
+
+// halt marks an attempt to be stopped, by a command that does not wait for a heartbeat.
+func (o *Owner) halt(a *attempt) {
+	a.stopping = true
+	o.workers.markUrgent(a.machine)
+}
+
+// handleAttemptEnd applies the reported end of an attempt. The entry stays until the worker
+// has forgotten it.
+func (o *Owner) handleAttemptEnd(a *attempt, t *wire.TaskStatus) {
+	j, m := a.job, a.machine
+	if j == nil {
+		return
+	}
+	switch t.Reason {
+	case wire.ReasonDone:
+		if j.attempts != nil && j.Record.Shape != wire.Daemon {
+			o.markDone(j, a.index)
+			o.recordRunTime(a)
+		}
+		clear(m.failedTasks)
+		j.failures, j.failedOn = 0, nil
+	case wire.ReasonError:
+		o.recordFailure(a)
+	case wire.ReasonNoRoom, wire.ReasonInUse:
+		m.noTasksBefore = o.loop.Now.Add(rejectedTaskBackoff)
+	case wire.ReasonUnknown:
+		j.retryAt = o.loop.Now.Add(rejectedTaskBackoff)
+	}
+	o.detach(a, true)
+	if j.doneCount == j.Record.Tasks {
+		o.storeJobEnds()
+	}
+}
+
+// rejectedTaskBackoff is how long a machine gets no tasks after it had no room for one, and
+// how long a job waits after a worker did not know of it.
+const rejectedTaskBackoff = 2 * time.Second
--- a/internal/core/owner/bench_test.go
+++ b/internal/core/owner/bench_test.go
@@ -23,7 +23,7 @@
 				Blocks: map[string]wire.Block{"n0": {Grant: 1 << 18, Incarnation: 7, Machines: names}}, Partitions: map[string]string{"red": "n0"}})
 			mayStart(o)
 			for i, name := range names {
-				m := o.machines[name]
+				m := o.workers.machines[name]
 				m.machineType, m.zone, m.spot, m.agentEpoch, m.endpoint, m.size = "s4", "x", true, 1, "10.0.0.1:9000", sched.Resources{CPUs: 8, MemoryGB: 32}
 				if i%25 == 0 {
 					o.ApplyJob(wire.JobRecord{Job: wire.Job{ID: fmt.Sprintf("wk-%06d", i), Class: "c", Team: "red", Shape: wire.Array, Priority: "standard",
@@ -36,7 +36,7 @@
 			}
 			for b.Loop() {
 				now = now.Add(time.Millisecond)
-				o.loop.Now, o.preemptedAt = now, now
+				o.loop.Now, o.placement.preemptedAt = now, now
 				o.place()
 			}
 			b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N)/float64(n), "ns/machine")
--- /dev/null
+++ b/internal/core/owner/commands.go
@@ -0,0 +1,203 @@
+package owner
+
+import (
+	"time"
+
+	"fawncove/internal/config"
+	"fawncove/internal/core/cluster"
+	"fawncove/internal/core/eventloop"
+	"fawncove/internal/wire"
+)
+
+// Commands for a worker go out in the answer to its heartbeat, or, when they should not
+// wait for one, by a direct command. At most one direct command to a machine is in flight.
+
+const (
+	// DirectTimeout bounds a direct command; a worker answers in milliseconds.
+	DirectTimeout = 2 * time.Second
+	// rejectedCommandBackoff is how long a worker gets no direct command after it has
+	// refused one.
+	rejectedCommandBackoff = 2 * time.Second
+	// maxCommands bounds the commands of one message, which has to fit wire.MaxBody.
+	maxCommands = 200
+)
+
+// markUrgent notes that a machine has commands that should not wait for a heartbeat.
+func (w *workerRegistry) markUrgent(m *machine) { w.urgent[m.name] = true }
+
+// commandsFor returns what the worker is to do, and marks the starts among it as sent.
+func (o *Owner) commandsFor(m *machine, how delivery) []wire.Command {
+	delete(o.workers.urgent, m.name)
+	if !m.needsCommands() {
+		return []wire.Command{}
+	}
+	keys := sortedAttempts(m)
+	commands := o.forgetsAndHalts(m, keys)
+	// A direct command only while the tokens prove that the worker receives: a command in
+	// flight is void once a higher token has come, and that may come together with it.
+	if !o.mayStart() || m.released() || (how == byCommand && !m.acknowledges()) {
+		return commands
+	}
+	for _, key := range keys {
+		a := m.attempts[key]
+		if a.state != attemptQueued || len(commands) > maxCommands {
+			continue
+		}
+		o.markSent(a, how)
+		commands = append(commands, wire.Command{Op: wire.CommandStart, Task: a.task, Attempt: a.number})
+	}
+	return commands
+}
+
+// needsCommands reports whether an attempt on the machine is to be started, halted or
+// forgotten.
+func (m *machine) needsCommands() bool {
+	for _, a := range m.attempts {
+		if a.ended() || a.stopping || a.state == attemptQueued {
+			return true
+		}
+	}
+	return false
+}
+
+// forgetsAndHalts returns the commands that end attempts.
+func (o *Owner) forgetsAndHalts(m *machine, keys []attemptKey) []wire.Command {
+	commands := []wire.Command{}
+	for _, key := range keys {
+		a := m.attempts[key]
+		switch {
+		case a.ended():
+			// A start that may still be in flight would run again after a forget: the
+			// ended entry stays until the token has moved.
+			if o.mayForget(a) {
+				commands = append(commands, wire.Command{Op: wire.CommandForget, Task: a.task, Attempt: a.number})
+			}
+		case a.stopping && a.state != attemptQueued:
+			grace := a.graceSeconds()
+			commands = append(commands, wire.Command{Op: wire.CommandHalt, Task: a.task, Attempt: a.number, GraceS: &grace})
+		}
+	}
+	return commands
+}
+
+// graceSeconds returns how long a task has to end once it is halted: the time to save a
+// checkpoint, if it writes any and is to go on elsewhere.
+func (a *attempt) graceSeconds() float64 {
+	if a.job != nil && !a.job.Ended && a.job.Record.CheckpointS > 0 {
+		return a.job.Record.SaveS + 1
+	}
+	return 0
+}
+
+// markSent notes that the start of an attempt is sent now.
+func (o *Owner) markSent(a *attempt, how delivery) {
+	m := a.machine
+	a.state, a.delivery = attemptSent, how
+	a.answeredSequence = m.sequence
+	a.inFlight = how == byCommand
+	a.voidFromToken = o.fencingToken(m) + 1
+}
+
+// mayForget reports whether the worker may forget an ended attempt: its completion is
+// stored and no copy of its start can still arrive.
+func (o *Owner) mayForget(a *attempt) bool {
+	if a.delivery == byCommand && (a.inFlight || (a.voidFromToken != 0 && a.machine.token < a.voidFromToken)) {
+		return false
+	}
+	return a.job == nil || a.job.Ended || !a.job.isDone(a.index) || a.job.isStored(a.index)
+}
+
+// sendCommands sends urgent commands directly: waiting for the next heartbeat would cost a
+// task seconds.
+func (o *Owner) sendCommands() {
+	if len(o.workers.urgent) == 0 || !o.mayStart() {
+		return
+	}
+	for _, name := range cluster.SortedKeys(o.workers.urgent) {
+		m := o.workers.machines[name]
+		if m == nil {
+			delete(o.workers.urgent, name)
+			continue
+		}
+		if !o.acceptsCommand(m) || m.released() || m.agentEpoch == 0 {
+			continue
+		}
+		if commands := o.commandsFor(m, byCommand); len(commands) > 0 {
+			o.sendUrgent(m, commands)
+		}
+	}
+}
+
+// acceptsCommand reports whether a direct command may be sent to the machine now.
+func (o *Owner) acceptsCommand(m *machine) bool {
+	return !m.commandInFlight && !m.answeringHeartbeat && m.endpoint != "" && !o.loop.Now.Before(m.noCommandsBefore)
+}
+
+// sendUrgent sends commands directly to a worker.
+func (o *Owner) sendUrgent(m *machine, commands []wire.Command) {
+	var started []*attempt
+	for _, c := range commands {
+		if a := m.attempts[attemptKey{c.Task, c.Attempt}]; a != nil && c.Op == wire.CommandStart {
+			started = append(started, a)
+		}
+	}
+	token := o.fencingToken(m)
+	if len(started) > 0 {
+		// Under a new grant the worker has shown a token of the one before. A controller
+		// that keeps the worker while this command is in flight raises the token shown: a
+		// start with a token above that would outlive all raises.
+		token = min(token, m.token)
+	}
+	body := wire.Commands{Token: token, AgentEpoch: m.agentEpoch, Commands: commands}
+	o.sendDirect(m, body, o.startDeadline(), func(d eventloop.Completion) { o.handleCommandResult(m, started, d) })
+}
+
+// sendDirect sends a direct command unless that cannot be done by the deadline; done gets
+// its result.
+func (o *Owner) sendDirect(m *machine, body wire.Commands, deadline time.Time, done func(eventloop.Completion)) {
+	m.commandInFlight, m.commandSentAt = true, o.loop.Now
+	o.loop.Emit(eventloop.WorkerCommands{Endpoint: m.endpoint, Until: deadline, Body: body, ID: o.loop.Call(done)})
+}
+
+// handleCommandResult applies the result of a direct command that started some attempts.
+func (o *Owner) handleCommandResult(m *machine, started []*attempt, d eventloop.Completion) {
+	m.commandInFlight = false
+	for _, a := range started {
+		a.inFlight = false
+	}
+	if o.workers.machines[m.name] != m {
+		return
+	}
+	hasStatus := d.Heartbeat != nil && d.Heartbeat.Machine == m.name
+	switch {
+	case d.Outcome == eventloop.Succeeded && hasStatus:
+		for _, a := range started {
+			a.voidFromToken = 0 // answered: no copy is in flight
+		}
+		o.observe(m, d.Heartbeat, statusInAnswer)
+	case d.Outcome == eventloop.Conflict || d.Outcome == eventloop.Rejected || d.Outcome == eventloop.NotSent:
+		o.handleRefusedCommand(m, started)
+		if d.Outcome == eventloop.Conflict && hasStatus {
+			o.adoptRaisedToken(m, d.Heartbeat.Token)
+			o.observe(m, d.Heartbeat, statusInAnswer)
+		}
+		m.noCommandsBefore = o.loop.Now.Add(rejectedCommandBackoff)
+	default:
+		// No answer: executed, or perhaps later. A higher token in the next answer to the
+		// worker's heartbeat rules out the latter.
+		o.raiseToken(m)
+		m.unansweredCommands++
+		m.noCommandsBefore = o.loop.Now.Add(config.Seconds(2 * o.view.Settings.Cluster.Workers.ReportS))
+	}
+	o.updateIdle(m)
+}
+
+// handleRefusedCommand drops the attempts of a command of which nothing was executed, and
+// never will be.
+func (o *Owner) handleRefusedCommand(m *machine, started []*attempt) {
+	for _, a := range started {
+		if m.attempts[a.key()] == a && !a.reported {
+			o.dropAttempt(a)
+		}
+	}
+}
--- /dev/null
+++ b/internal/core/owner/fencing.go
@@ -0,0 +1,65 @@
+package owner
+
+import (
+	"time"
+)
+
+// Each message to a worker carries a fencing token. A worker ignores commands with a token
+// below the highest it has seen, and reports that one with each heartbeat. A token belongs
+// to a grant of the block lease; within the grant it is raised, for each machine by itself,
+// to make void what was sent before.
+
+// tokenRaiseInterval spaces the raises of a foreign worker's token while it stays here: a
+// start that its owner sends in between must not be held back for as long as cancel_s.
+const tokenRaiseInterval = 10 * time.Second
+
+// fencingToken returns the token with which messages to the machine are sent.
+func (o *Owner) fencingToken(m *machine) uint64 { return o.blockLease.Token(m.tokenIncrement) }
+
+// acknowledges reports whether the tokens in the worker's heartbeats prove that it receives
+// what this controller sends. That heartbeats come proves nothing: a worker that receives
+// nothing takes them round all controllers until its lease ends. After a command without an
+// answer, and after an agent epoch that ended although it was answered, the token is raised,
+// and only a worker that shows the raised token is alive and has room.
+func (m *machine) acknowledges() bool { return m.token >= m.firstToken && m.token >= m.minAckToken }
+
+// raiseToken raises the token that the worker has to show next.
+func (o *Owner) raiseToken(m *machine) {
+	m.tokenIncrement++
+	m.minAckToken = o.fencingToken(m)
+}
+
+// fenceOverdueCommand raises the token of a machine whose direct command has had no answer
+// in time, but that this controller, having been suspended, has not yet read: the heartbeat
+// that is answered now must not keep the agent epoch alive for a start that is still in
+// flight.
+func (o *Owner) fenceOverdueCommand(m *machine) {
+	if m.commandInFlight && !m.commandSentAt.IsZero() && o.loop.Now.Sub(m.commandSentAt) > DirectTimeout {
+		o.raiseToken(m)
+		m.commandSentAt = time.Time{}
+	}
+}
+
+// adoptRaisedToken continues from a token that another controller has raised within this
+// grant, see raiseForeignToken.
+func (o *Owner) adoptRaisedToken(m *machine, token uint64) {
+	if token > o.fencingToken(m) && o.view.Params.Levels.KnowsLevels() {
+		if increment, ok := o.blockLease.TokenIncrement(token); ok {
+			m.tokenIncrement = increment
+		}
+	}
+}
+
+// raiseForeignToken returns the token with which a foreign worker is answered. An answer
+// keeps the agent epoch alive, and with it every start that its owner has sent and that is
+// still in flight: the start of a job that was cancelled since would come into effect
+// whenever it arrives. So the token is raised with the first answer, again when the worker
+// has reported to others in between, and every tokenRaiseInterval. What was sent before is
+// void then, and the owner continues from the higher token (adoptRaisedToken).
+func (o *Owner) raiseForeignToken(w *foreignWorker) uint64 {
+	stayed := w.lastStayed.Equal(o.loop.Now)
+	if !stayed || o.loop.Now.Sub(w.tokenRaisedAt) >= tokenRaiseInterval {
+		w.token, w.tokenRaisedAt = max(w.token, w.heartbeat.Token)+1, o.loop.Now
+	}
+	return max(w.token, w.heartbeat.Token)
+}
--- a/internal/core/owner/fleet_test.go
+++ b/internal/core/owner/fleet_test.go
@@ -22,7 +22,7 @@
 	mayStart(o)
 	var all []*machine
 	for i, name := range names {
-		all = append(all, o.machines[name])
+		all = append(all, o.workers.machines[name])
 		report(o, now, eventloop.HeartbeatRequest{Req: uint64(i), Heartbeat: reportOf(all[i], 1, 1, all[i].firstToken)})
 	}
 	return o, all, now
--- a/internal/core/owner/guards_test.go
+++ b/internal/core/owner/guards_test.go
@@ -22,7 +22,7 @@
 	o, now := newOwner(t, []config.Team{{Name: "free"}}, wire.LeaseRecord{Term: 3, Leader: "n1",
 		Blocks: map[string]wire.Block{"n0": b}, Partitions: map[string]string{"free": "n0"}})
 	mayStart(o)
-	return o, o.machines["host-000001"], now
+	return o, o.workers.machines["host-000001"], now
 }
 
 // putArray accepts an array.
@@ -116,7 +116,7 @@
 	mayStart(o)
 	// One machine has an error against it already, and the first errors of the
 	// mistaken job, before it is known for one, must not be the second.
-	o.machines[names[0]].failedTasks = map[string]bool{"wk-000009/1": true}
+	o.workers.machines[names[0]].failedTasks = map[string]bool{"wk-000009/1": true}
 	mistaken := putArray(o, "wk-000001", "standard", 40, 1, now)
 	why, most := wire.ReasonError, 0
 	seq := uint64(0)
@@ -126,7 +126,7 @@
 		o.loop.Begin(at)
 		mayStart(o)
 		for _, name := range names {
-			m := o.machines[name]
+			m := o.workers.machines[name]
 			var tasks []wire.TaskStatus
 			for _, key := range sortedAttempts(m) {
 				tasks = append(tasks, wire.TaskStatus{Task: key.task, Attempt: key.number, State: wire.TaskEnded, Reason: why})
@@ -135,7 +135,7 @@
 			report(o, at, eventloop.HeartbeatRequest{Req: seq, Heartbeat: reportOf(m, 1, seq, o.fencingToken(m), tasks...)})
 		}
 		for _, name := range names {
-			if o.machines[name].quarantined {
+			if o.workers.machines[name].quarantined {
 				t.Fatalf("%s is set aside for a mistaken job after %d s", name, s)
 			}
 		}
@@ -255,7 +255,7 @@
 		o.ChangesKnown(o.view.LeaseVersion, at)
 		report(o, at, eventloop.HeartbeatRequest{Req: seq, Heartbeat: reportOf(guest, 1, seq, m.firstToken)})
 	}
-	if g := o.foreignWorkers[guest.name]; g == nil || g.lastHeartbeat != now {
+	if g := o.workers.foreign[guest.name]; g == nil || g.lastHeartbeat != now {
 		t.Errorf("copies count: %+v", g)
 	}
 }
@@ -320,11 +320,11 @@
 	report(o, now, eventloop.HeartbeatRequest{Req: 1, Heartbeat: reportOf(m, 1, 1, m.firstToken)})
 	raised := m.firstToken + 3
 	report(o, now.Add(time.Second), eventloop.HeartbeatRequest{Req: 2, Heartbeat: reportOf(m, 1, 8, raised)})
-	if got := answers(o.loop.Effects()); len(got) != 1 || got[0].Token < raised || len(o.foreignWorkers) > 0 || !m.acknowledges() {
-		t.Errorf("answered with %+v, guests %d", got, len(o.foreignWorkers))
+	if got := answers(o.loop.Effects()); len(got) != 1 || got[0].Token < raised || len(o.workers.foreign) > 0 || !m.acknowledges() {
+		t.Errorf("answered with %+v, guests %d", got, len(o.workers.foreign))
 	}
 	report(o, now.Add(2*time.Second), eventloop.HeartbeatRequest{Req: 3, Heartbeat: reportOf(m, 1, 9, m.firstToken+1<<24)})
-	if len(o.foreignWorkers) != 1 {
+	if len(o.workers.foreign) != 1 {
 		t.Error("a token of a later grant does not make it a guest")
 	}
 }
@@ -373,7 +373,7 @@
 		o.loop.Begin(at)
 		mayStart(o)
 		j := putArray(o, "wk-000001", "standard", 1, 1, now)
-		o.observe(m, &wire.Heartbeat{Machine: m.name, Endpoint: "e", Type: "s4", Zone: "x", AgentEpoch: 1, Sequence: 5, Token: m.firstToken}, true)
+		o.observe(m, &wire.Heartbeat{Machine: m.name, Endpoint: "e", Type: "s4", Zone: "x", AgentEpoch: 1, Sequence: 5, Token: m.firstToken}, heartbeatReceived)
 		starts := 0
 		for _, e := range tick(o, at) {
 			if d, ok := e.(eventloop.WorkerCommands); ok && len(d.Body.Commands) > 0 {
--- /dev/null
+++ b/internal/core/owner/handover.go
@@ -0,0 +1,122 @@
+package owner
+
+import (
+	"time"
+
+	"fawncove/internal/core/cluster"
+)
+
+// A controller that was away long enough to be taken over finds its partitions with others
+// when it is back. It gets a new one, for new jobs, and the old ones move on as they drain:
+// an owner that holds more partitions of a team than another controller, or that has no room
+// for what waits in one, offers a partition of which nothing runs. As with quota shares the
+// offer is a reservation in a numbered renewal: nothing of the partition is started until a
+// lease value applies it, and only the write that does so may assign the partition to
+// another. Either side, or the leader, may crash at any moment: the partition is then where
+// it was, or handed over with nothing of it running.
+//
+// The first partition of each team stays, and new jobs are filed under it, so that the
+// others do drain.
+
+const (
+	// handoverInterval spaces the offers of one partition: each of them holds up what waits
+	// in it for a moment, whether or not any controller has use for it.
+	handoverInterval = 15 * time.Second
+	// minImbalance is how many more partitions than another controller an owner holds before
+	// it offers one for that alone.
+	minImbalance = 2
+)
+
+// partitionsToHandOver returns the partitions that this controller would rather hand over,
+// and can; at most one of each team, so that the next look sees what came of it.
+func (o *Owner) partitionsToHandOver() []string {
+	if !o.blockLease.Held() || o.UnreconciledMachines() > 0 {
+		return nil
+	}
+	var list []string
+	for _, t := range o.view.Settings.Cluster.Teams {
+		if partition := o.partitionToHandOver(t.Name); partition != "" {
+			list = append(list, partition)
+		}
+	}
+	return list
+}
+
+// partitionToHandOver returns the last partition of a team that this controller would rather
+// hand over, and can, or "".
+func (o *Owner) partitionToHandOver(team string) string {
+	own, fewest := o.teamPartitions(team)
+	if len(own) < 2 || fewest < 0 {
+		return ""
+	}
+	for i := len(own) - 1; i > 0; i-- {
+		if at, ok := o.partitions.offeredAt[own[i]]; ok && o.loop.Now.Sub(at) < handoverInterval {
+			continue
+		}
+		waitingCPUs, drained := o.drained(own[i])
+		if drained && (len(own)-fewest >= minImbalance || (waitingCPUs > 0 && o.hasRoomElsewhere(waitingCPUs))) {
+			return own[i]
+		}
+	}
+	return ""
+}
+
+// teamPartitions returns the partitions of a team that are here, the one for new jobs first,
+// and how many the reachable controller with the fewest has; -1 if none is reachable.
+func (o *Owner) teamPartitions(team string) (own []string, fewest int) {
+	assigned := o.view.Lease.Partitions
+	for _, partition := range cluster.Partitions(assigned, team) {
+		if assigned[partition] == o.view.Self {
+			own = append(own, partition)
+		}
+	}
+	count := cluster.CountPartitions(assigned, team)
+	fewest = -1
+	for node := range o.view.Peers {
+		if _, ok := o.view.Lease.Blocks[node]; ok && o.view.IsReachable(node, o.loop.Now) && (fewest < 0 || count[node] < fewest) {
+			fewest = count[node]
+		}
+	}
+	return own, fewest
+}
+
+// drained reports whether no task of a partition is anywhere, and everything that is
+// completed of it is stored, so that another owner would find it. waitingCPUs is what its
+// waiting tasks need.
+func (o *Owner) drained(partition string) (waitingCPUs float64, drained bool) {
+	for _, j := range o.jobs {
+		if j.partition() != partition {
+			continue
+		}
+		if !j.drained() {
+			return 0, false
+		}
+		waitingCPUs += float64(len(j.queue)) * j.Record.CPUs
+	}
+	return waitingCPUs, true
+}
+
+// drained reports whether no task of the job is anywhere, and everything that is completed
+// is stored. A completed task that is not stored would be run again: its worker reports to
+// this controller only.
+func (j *Job) drained() bool {
+	if len(j.attempts) > 0 || j.EndInFlight {
+		return false
+	}
+	return j.Ended || (j.ready() && j.doneCount != j.Record.Tasks && j.allStored())
+}
+
+// hasRoomElsewhere reports whether work has no room here that it would have with another
+// controller.
+func (o *Owner) hasRoomElsewhere(cpus float64) bool {
+	busy, _, size := o.ProcessorUse()
+	if busy <= size {
+		return false
+	}
+	for node, p := range o.view.Peers {
+		if o.view.IsReachable(node, o.loop.Now) && p.SpareCPUs >= cpus {
+			return true
+		}
+	}
+	return false
+}
--- a/internal/core/owner/move_test.go
+++ b/internal/core/owner/move_test.go
@@ -19,7 +19,7 @@
 		"n0": {Grant: 1 << 18, Incarnation: 7, Machines: wire.NameSet{"host-000001"}, Unreconciled: old}, "n1": {Grant: 1<<18 + 1, Incarnation: 7}},
 		Partitions: map[string]string{"free": "n0", "free #1": "n0", "free #2": "n1"}})
 	mayStart(o)
-	m := o.machines["host-000001"]
+	m := o.workers.machines["host-000001"]
 	report(o, now, eventloop.HeartbeatRequest{Req: 1, Heartbeat: reportOf(m, 1, 1, m.firstToken)})
 	o.bind(putPart(o, "wk-000001", 6, 4, now), m)
 	waits = putPart(o, "wk-000002", 7, 3, now)
@@ -40,7 +40,7 @@
 		o.loop.Begin(now)
 		mayStart(o)
 		o.ChangesKnown(o.view.LeaseVersion, now)
-		for _, m := range o.machines {
+		for _, m := range o.workers.machines {
 			m.lastHeartbeat = now
 		}
 		o.view.Peers["n1"].LastFrame = now
@@ -75,7 +75,7 @@
 			o.view.Lease.Level, o.view.Lease.Confirmed = 2, 2
 			j.envelopeForm, j.doneCount, j.done[0] = wire.EnvelopeForm, 1, 1
 		}, false},
-		{"a task is somewhere", nil, func(o *Owner, j *Job) { j.attempts[0] = &attempt{job: j, machine: o.machines["host-000001"]} }, false},
+		{"a task is somewhere", nil, func(o *Owner, j *Job) { j.attempts[0] = &attempt{job: j, machine: o.workers.machines["host-000001"]} }, false},
 		{"a gang", nil, func(o *Owner, j *Job) { j.Record.Shape = wire.Group }, false},
 		{"a mistaken job", nil, func(o *Owner, j *Job) { j.failedOn = map[string]bool{"a": true, "b": true, "c": true} }, false},
 		{"its end is being stored", nil, func(o *Owner, j *Job) { j.EndInFlight = true }, false},
@@ -132,13 +132,13 @@
 			for _, r := range full.attempts { // room at last
 				o.dropAttempt(r)
 			}
-			o.knownRevision = c.known
+			o.known.revision = c.known
 			o.view.Peers["n1"].AcceptsJobMoves = false
 			for range 10 {
 				at = at.Add(200 * time.Millisecond)
 				o.loop.Begin(at)
 				o.ChangesKnown(0, at)
-				o.machines["host-000001"].lastHeartbeat = at
+				o.workers.machines["host-000001"].lastHeartbeat = at
 				tick(o, at)
 			}
 			if len(j.attempts) > 0 != c.goesOn {
@@ -156,14 +156,14 @@
 		o, now := newOwner(t, []config.Team{{Name: "free"}}, wire.LeaseRecord{Term: 3, Leader: "n1",
 			Blocks:     map[string]wire.Block{"n0": {Grant: 1 << 18, Incarnation: 7, Machines: wire.NameSet{"host-000001"}}},
 			Partitions: map[string]string{"free #1": "n1", "free #2": "n1"}})
-		m := o.machines["host-000001"]
+		m := o.workers.machines["host-000001"]
 		report(o, now, eventloop.HeartbeatRequest{Req: 1, Heartbeat: reportOf(m, 1, 1, m.firstToken)})
 		j := putPart(o, "wk-000001", 6, 1, now)
 		rec := o.view.Lease.Clone()
 		rec.Partitions["free #1"] = "n0"
 		o.view.ApplyLease(rec, 20)
 		o.ApplyBlock(rec.Blocks["n0"])
-		o.markJobReady(j) // what earlier owners stored is read
+		o.markReady(j) // what earlier owners stored is read
 		play := func() {
 			for range 10 {
 				now = now.Add(200 * time.Millisecond)
@@ -175,7 +175,7 @@
 			}
 		}
 		if play(); len(j.attempts) > 0 {
-			t.Errorf("moved %v: started at revision %d", moved, o.knownRevision)
+			t.Errorf("moved %v: started at revision %d", moved, o.known.revision)
 		}
 		if moved {
 			later := j.Record
@@ -198,8 +198,8 @@
 		j := putPart(o, "wk-000001", 6, 1, now)
 		later := j.Record
 		later.Shard = "free #2"
-		if o.ApplyJob(later, RecordInfo{Version: 8, FirstVersion: born}); j.ready == (born == 1) || j.awaitsPages != (born == 1) {
-			t.Errorf("first stored under %d: ready %v, being read %v", born, j.ready, j.awaitsPages)
+		if o.ApplyJob(later, RecordInfo{Version: 8, FirstVersion: born}); j.ready() == (born == 1) || j.awaitsPages() != (born == 1) {
+			t.Errorf("first stored under %d: ready %v, being read %v", born, j.ready(), j.awaitsPages())
 		}
 	}
 }
--- /dev/null
+++ b/internal/core/owner/observe.go
@@ -0,0 +1,170 @@
+package owner
+
+import (
+	"fawncove/internal/config"
+	"fawncove/internal/core/cluster"
+	"fawncove/internal/wire"
+)
+
+// heartbeatSource says how the status of a worker came.
+type heartbeatSource int
+
+const (
+	// heartbeatReceived: the worker sent it by itself. Only this proves that the answer to
+	// the heartbeat before it was executed or dropped.
+	heartbeatReceived heartbeatSource = iota
+	// statusInAnswer: it came in the answer to a direct command.
+	statusInAnswer
+)
+
+// observe applies a worker's status to what is known of its machine and its attempts.
+//
+// It returns false for a status that says nothing: one that is older than the newest known,
+// or below this block lease's first token. Copies of heartbeats come late, by more than a
+// worker's lease, and a controller that has just taken a machine over knows no newer one:
+// from such a heartbeat it learns only the endpoint to probe.
+func (o *Owner) observe(m *machine, hb *wire.Heartbeat, source heartbeatSource) bool {
+	if hb.AgentEpoch < m.agentEpoch || (hb.AgentEpoch == m.agentEpoch && hb.Sequence <= m.sequence) {
+		return false
+	}
+	if hb.Token < m.firstToken {
+		o.learnEndpoint(m, machineInfo(hb))
+		m.expectedEpoch = max(m.expectedEpoch, hb.AgentEpoch)
+		o.workers.toProbe[m.name] = true
+		return false
+	}
+	restarted := hb.AgentEpoch > m.agentEpoch && m.agentEpoch != 0
+	if restarted && o.loop.Now.Sub(m.lastAcknowledged) < config.Seconds(o.view.Settings.Cluster.Workers.LeaseS) {
+		o.raiseToken(m) // its lease ended although it was answered: it does not receive answers
+	}
+	m.agentEpoch, m.sequence, m.token = hb.AgentEpoch, hb.Sequence, max(m.token, hb.Token)
+	o.observeLiveness(m, source)
+	o.observeMachine(m, hb)
+	o.observeReclaimNotice(m, hb)
+	if m.needsReconciliation {
+		// The worker has seen this controller's token: it executes no command of an earlier
+		// holder any more, and its list of tasks is complete.
+		m.needsReconciliation = false
+		o.placement.due = true
+	}
+	listed := o.observeTasks(m, hb)
+	o.dropUnlisted(m, hb, listed, source, restarted)
+	o.updateIdle(m)
+	return true
+}
+
+// observeLiveness counts a machine as alive that has reported and receives commands.
+func (o *Owner) observeLiveness(m *machine, source heartbeatSource) {
+	if !m.acknowledges() {
+		return
+	}
+	m.unansweredCommands = 0
+	if source != heartbeatReceived {
+		return
+	}
+	o.workers.lastHeartbeat = o.loop.Now
+	m.lastHeartbeat = o.loop.Now
+	// A machine that was given up and reports after all, say after a network partition, is
+	// as good as before, unless it is being returned already.
+	if m.unreachable {
+		o.blockLease.RequestRenewal() // the leader may still keep it
+	}
+	m.unreachable, m.suspected = false, false
+}
+
+// observeMachine applies what a worker says of the machine itself.
+func (o *Owner) observeMachine(m *machine, hb *wire.Heartbeat) {
+	m.endpoint, m.zone, m.spot, m.machineType = hb.Endpoint, hb.Zone, hb.Spot, hb.Type
+	if t, ok := o.view.MachineTypes[m.machineType]; ok {
+		m.size = cluster.MachineSize(t)
+	}
+}
+
+// observeReclaimNotice applies the notice that the cloud takes the machine. What can be
+// saved is saved now and goes on elsewhere, and replicas move. The rest runs on: it may
+// still complete.
+func (o *Owner) observeReclaimNotice(m *machine, hb *wire.Heartbeat) {
+	if hb.NoticeS == nil || !m.reclaimAt.IsZero() {
+		return
+	}
+	m.reclaimAt = o.loop.Now.Add(config.Seconds(*hb.NoticeS))
+	o.blockLease.RequestRenewal() // the leader can rent another meanwhile
+	for _, a := range m.attempts {
+		if a.job == nil || a.ended() || a.state == attemptQueued {
+			continue
+		}
+		if a.job.Record.CheckpointS > 0 || a.job.Record.Shape == wire.Daemon {
+			o.halt(a)
+		}
+	}
+}
+
+// observeTasks applies the states of the tasks that a worker lists, and returns which those
+// are.
+func (o *Owner) observeTasks(m *machine, hb *wire.Heartbeat) (listed map[attemptKey]bool) {
+	listed = make(map[attemptKey]bool, len(hb.Tasks))
+	m.unknownAttempts = 0
+	for i := range hb.Tasks {
+		t := &hb.Tasks[i]
+		key := attemptKey{t.Task, t.Attempt}
+		listed[key] = true
+		a := m.attempts[key]
+		if a == nil {
+			a = o.adoptAttempt(m, t)
+		}
+		a.reported = true
+		if a.job == nil && t.State != wire.TaskEnded {
+			m.unknownAttempts++
+		}
+		if !a.ended() && a.state != t.State {
+			o.setState(a, t)
+		}
+	}
+	return listed
+}
+
+// setState applies a state that a worker reports of an attempt.
+func (o *Owner) setState(a *attempt, t *wire.TaskStatus) {
+	m := a.machine
+	if t.State == wire.TaskRunning {
+		a.startedAt = o.loop.Now
+		if a.job != nil {
+			m.recordImage(a.job.Record.Image, a.job.Record.ImageGB, o.view.MachineTypes[m.machineType].CacheGB, true)
+		}
+	}
+	a.state = t.State
+	o.log.Debug("task", "task", t.Task, "attempt", t.Attempt, "machine", m.name, "state", t.State, "reason", t.Reason)
+	if a.ended() {
+		o.handleAttemptEnd(a, t)
+	}
+}
+
+// dropUnlisted drops the attempts that the worker does not list and that therefore are
+// certainly not running. One whose start may still arrive stays.
+func (o *Owner) dropUnlisted(m *machine, hb *wire.Heartbeat, listed map[attemptKey]bool, source heartbeatSource, restarted bool) {
+	for key, a := range m.attempts {
+		if listed[key] || a.state == attemptQueued {
+			continue
+		}
+		// Otherwise it was killed with its agent epoch, or forgotten.
+		if !restarted && !a.reported && a.mayStillStart(m, hb, source) {
+			continue
+		}
+		o.dropAttempt(a)
+	}
+}
+
+// mayStillStart reports whether the start of an attempt that its worker has never listed may
+// still be executed.
+func (a *attempt) mayStillStart(m *machine, hb *wire.Heartbeat, source heartbeatSource) bool {
+	switch a.delivery {
+	case inHeartbeatAnswer:
+		// The worker executes the answer, or drops it, before its next heartbeat.
+		return source != heartbeatReceived || hb.Sequence <= a.answeredSequence
+	case byCommand:
+		// A command without an answer may be executed until the worker has seen a higher token.
+		return a.inFlight || m.token < a.voidFromToken
+	default:
+		return false
+	}
+}
--- a/internal/core/owner/owner_test.go
+++ b/internal/core/owner/owner_test.go
@@ -83,25 +83,25 @@
 	c, now := newOwner(t, []config.Team{{Name: "free"}}, wire.LeaseRecord{Term: 3, Leader: "n1",
 		Blocks:     map[string]wire.Block{"n0": {Grant: 1 << 18, Incarnation: 7, Unreconciled: wire.NameSet{"host-000001"}, Draining: wire.NameSet{"host-000001"}}},
 		Partitions: map[string]string{"free": "n0"}})
-	m := c.machines["host-000001"]
-	if m == nil || !m.needsReconciliation || !m.draining {
+	m := c.workers.machines["host-000001"]
+	if m == nil || !m.needsReconciliation || !m.draining() {
 		t.Fatalf("not taken over as it should: %+v", m)
 	}
 	tick(c, now.Add(time.Second))
-	if m.released {
+	if m.released() {
 		t.Fatal("given back before it was heard")
 	}
 	r := wire.Heartbeat{Machine: m.name, Endpoint: "10.1.0.1:9000", Type: "s4", Zone: "x", AgentEpoch: 1, Sequence: 3}
 	report(c, now.Add(2*time.Second), eventloop.HeartbeatRequest{Req: 1, Heartbeat: r}) // from before it saw our token
 	tick(c, now.Add(2100*time.Millisecond))
-	if m.released {
+	if m.released() {
 		t.Fatal("given back before it had seen the new token")
 	}
 	r.Sequence, r.Token = 4, c.fencingToken(m)
-	c.changesKnownUntil = now.Add(2 * time.Second)
+	c.known.changesUntil = now.Add(2 * time.Second)
 	report(c, now.Add(3*time.Second), eventloop.HeartbeatRequest{Req: 2, Heartbeat: r})
 	tick(c, now.Add(3200*time.Millisecond))
-	if !m.released {
+	if !m.released() {
 		t.Error("not given back though it is known to be empty")
 	}
 }
@@ -170,23 +170,23 @@
 			Blocks: map[string]wire.Block{"n0": {Grant: 1 << 18, Incarnation: 7, Machines: names}}, Partitions: map[string]string{"free": "n0"}})
 		for s := range 13 { // the last report is 11.1 s old at the end, the lease 12 s
 			now = now.Add(time.Second)
-			core.changesKnownUntil = now
+			core.known.changesUntil = now
 			for i, name := range names {
 				if i >= c.silent || s < 2 {
 					report(core, now, eventloop.HeartbeatRequest{Req: 1, Heartbeat: wire.Heartbeat{Machine: name, Endpoint: "e", Type: "s4", Zone: []string{"x", "y"}[i%2],
-						Spot: i < c.spot, AgentEpoch: 1, Sequence: uint64(s + 1), Token: core.fencingToken(core.machines[name])}})
+						Spot: i < c.spot, AgentEpoch: 1, Sequence: uint64(s + 1), Token: core.fencingToken(core.workers.machines[name])}})
 				}
 			}
 			tick(core, now.Add(100*time.Millisecond))
 			// Another can be rented before it is given up.
-			if m := core.machines[names[0]]; s == 8 && m.suspected != c.lost {
+			if m := core.workers.machines[names[0]]; s == 8 && m.suspected != c.lost {
 				t.Errorf("%d of 30 silent, %d spot ones: missed %v, want %v", c.silent, c.spot, m.suspected, c.lost)
 			}
 		}
-		if got := core.machines[names[0]].unreachable; got != c.lost {
+		if got := core.workers.machines[names[0]].unreachable; got != c.lost {
 			t.Errorf("%d of 30 silent, %d spot ones: lost %v, want %v", c.silent, c.spot, got, c.lost)
 		}
-		if core.machines[names[20]].unreachable {
+		if core.workers.machines[names[20]].unreachable {
 			t.Error("a machine that reports counts as lost")
 		}
 	}
@@ -204,16 +204,16 @@
 		Blocks: map[string]wire.Block{"n0": {Grant: 1 << 18, Incarnation: 7, Machines: names}}, Partitions: map[string]string{"free": "n0"}})
 	for s := range 26 { // silent from 2 s to 22 s, which is well beyond a lease
 		now = now.Add(time.Second)
-		core.changesKnownUntil = now
+		core.known.changesUntil = now
 		for i, name := range names {
 			if back := s - 22; s < 2 || i < 4*back {
 				report(core, now, eventloop.HeartbeatRequest{Req: 1, Heartbeat: wire.Heartbeat{Machine: name, Endpoint: "e", Type: "s4", Zone: "x",
-					AgentEpoch: 1, Sequence: uint64(s + 1), Token: core.fencingToken(core.machines[name])}})
+					AgentEpoch: 1, Sequence: uint64(s + 1), Token: core.fencingToken(core.workers.machines[name])}})
 			}
 		}
 		tick(core, now.Add(100*time.Millisecond))
 		for _, name := range names {
-			if core.machines[name].unreachable {
+			if core.workers.machines[name].unreachable {
 				t.Fatalf("%s given up %d s after the start", name, s+1)
 			}
 		}
@@ -222,7 +222,7 @@
 		now = now.Add(time.Second)
 		tick(core, now)
 	}
-	if !core.machines[names[11]].unreachable {
+	if !core.workers.machines[names[11]].unreachable {
 		t.Error("never given up")
 	}
 }
@@ -238,19 +238,18 @@
 	job := func(id string, shape wire.Shape, spot bool) *Job {
 		c.ApplyJob(wire.JobRecord{Job: wire.Job{ID: id, Team: "free", Shape: shape, Priority: "standard", Tasks: 1, CPUs: 1, Spot: spot}}, RecordInfo{Version: 3})
 		j := c.jobs[id]
-		j.awaitsPages = false
-		c.markJobReady(j)
+		c.markReady(j)
 		return j
 	}
 	service, array := job("wk-000001", wire.Daemon, false), job("wk-000002", wire.Array, true)
-	ordinary, spot := c.machines["host-000001"], c.machines["host-000002"]
+	ordinary, spot := c.workers.machines["host-000001"], c.workers.machines["host-000002"]
 	r := wire.Heartbeat{Machine: ordinary.name, Endpoint: "e1", Type: "s4", Zone: "x", AgentEpoch: 1, Sequence: 3, Token: c.fencingToken(ordinary)}
 	report(c, now.Add(time.Second), eventloop.HeartbeatRequest{Req: 1, Heartbeat: r})
 	if len(service.attempts) != 0 || len(array.attempts) != 0 {
 		t.Fatal("started though a machine may run anything")
 	}
 	c.learnEndpoint(spot, &peerpb.MachineInfo{Endpoint: "e2", Type: "s4", Zone: "x", Spot: true})
-	c.placeDue = true
+	c.placement.due = true
 	tick(c, now.Add(2*time.Second))
 	if len(service.attempts) != 1 {
 		t.Error("the service waits for a machine on which it cannot be")
@@ -276,13 +275,13 @@
 		var answer []eventloop.Completion
 		for s := range 9 { // the last report is 7 s old at the end
 			now = now.Add(time.Second)
-			c.changesKnownUntil = now
+			c.known.changesUntil = now
 			for _, d := range answer {
 				complete(c, now, d)
 			}
 			answer = nil
 			for i, name := range names {
-				rep := wire.Heartbeat{Machine: name, Endpoint: name, Type: "s4", Zone: "x", Spot: i == 0, AgentEpoch: 1, Sequence: uint64(s + 1), Token: c.fencingToken(c.machines[name])}
+				rep := wire.Heartbeat{Machine: name, Endpoint: name, Type: "s4", Zone: "x", Spot: i == 0, AgentEpoch: 1, Sequence: uint64(s + 1), Token: c.fencingToken(c.workers.machines[name])}
 				if i > 0 || s < 2 {
 					report(c, now, eventloop.HeartbeatRequest{Req: 1, Heartbeat: rep})
 				}
@@ -302,7 +301,7 @@
 		if asked == 0 {
 			t.Fatal("not asked")
 		}
-		if got := c.machines[names[0]].unreachable; got == answers {
+		if got := c.workers.machines[names[0]].unreachable; got == answers {
 			t.Errorf("it answers: %v, given up: %v", answers, got)
 		}
 	}
@@ -326,7 +325,7 @@
 			t.Fatalf("%d urgent tasks started, want 4", len(urgent.attempts))
 		}
 		submit("wk-000002", wire.Daemon, "production", 1, false)
-		c.placeDue = true
+		c.placement.due = true
 		tick(c, now.Add(1700*time.Millisecond))
 		stopped := 0
 		for _, r := range urgent.attempts {
@@ -359,14 +358,14 @@
 		want []string
 	}{
 		{"nothing runs", nil, func(*Owner, *Job) {}, []string{"red #3"}},
-		{"a task runs", nil, func(o *Owner, j *Job) { o.bind(j, o.machines["host-000001"]) }, []string{"red #2"}},
+		{"a task runs", nil, func(o *Owner, j *Job) { o.bind(j, o.workers.machines["host-000001"]) }, []string{"red #2"}},
 		{"a machine is not heard yet", wire.NameSet{"host-000002"}, func(*Owner, *Job) {}, nil},
-		{"a machine runs what is not known", nil, func(o *Owner, j *Job) { o.machines["host-000001"].unknownAttempts = 1 }, nil},
+		{"a machine runs what is not known", nil, func(o *Owner, j *Job) { o.workers.machines["host-000001"].unknownAttempts = 1 }, nil},
 		{"a completed task is not stored", nil, func(o *Owner, j *Job) { o.markDone(j, 3) }, []string{"red #2"}},
 		{"a completed task is stored", nil, func(o *Owner, j *Job) { o.markDone(j, 3); j.stored[0] = 1 << 3 }, []string{"red #3"}},
 		{"its end is being stored", nil, func(o *Owner, j *Job) { j.EndInFlight = true }, []string{"red #2"}},
-		{"what was completed is still being read", nil, func(o *Owner, j *Job) { j.ready = false }, []string{"red #2"}},
-		{"it was offered a moment ago", nil, func(o *Owner, j *Job) { o.handoverOfferedAt["red #3"] = o.loop.Now }, []string{"red #2"}},
+		{"what was completed is still being read", nil, func(o *Owner, j *Job) { j.ownership = awaitingPages }, []string{"red #2"}},
+		{"it was offered a moment ago", nil, func(o *Owner, j *Job) { o.partitions.offeredAt["red #3"] = o.loop.Now }, []string{"red #2"}},
 		{"the others are out of reach", nil, func(o *Owner, j *Job) { o.view.Peers["n1"].LastFrame = time.Time{} }, nil},
 	} {
 		o, now := newOwner(t, []config.Team{{Name: "red"}}, twoHomes(c.old))
@@ -387,7 +386,7 @@
 	o, now := newOwner(t, []config.Team{{Name: "red"}}, rec)
 	o.view.Peers["n1"].LastFrame = now
 	mayStart(o)
-	m := o.machines["host-000001"]
+	m := o.workers.machines["host-000001"]
 	m.machineType, m.zone, m.agentEpoch, m.endpoint, m.size = "s4", "x", 1, "e", sched.Resources{CPUs: 4, MemoryGB: 16}
 	o.ApplyJob(wire.JobRecord{Job: wire.Job{ID: "wk-000001", Team: "red", Shape: wire.Array, Priority: "standard", Tasks: 8, CPUs: 1}, Shard: "red #3"}, RecordInfo{Version: 9})
 	j := o.jobs["wk-000001"]
@@ -412,12 +411,12 @@
 	}
 	lease(10, "n1")
 	o.place()
-	if o.Owns(j) || j.ready || len(j.attempts) > 0 {
-		t.Errorf("after it has moved: owned %v, ready %v, %d tasks started", o.Owns(j), j.ready, len(j.attempts))
+	if o.Owns(j) || j.ready() || len(j.attempts) > 0 {
+		t.Errorf("after it has moved: owned %v, ready %v, %d tasks started", o.Owns(j), j.ready(), len(j.attempts))
 	}
 	lease(11, "n0")
 	o.place()
-	if !o.Owns(j) || j.ready || !j.awaitsPages || len(j.attempts) > 0 {
-		t.Errorf("when it is back: owned %v, ready %v, reading %v, %d tasks started", o.Owns(j), j.ready, j.awaitsPages, len(j.attempts))
+	if !o.Owns(j) || j.ready() || !j.awaitsPages() || len(j.attempts) > 0 {
+		t.Errorf("when it is back: owned %v, ready %v, reading %v, %d tasks started", o.Owns(j), j.ready(), j.awaitsPages(), len(j.attempts))
 	}
 }
--- /dev/null
+++ b/internal/core/owner/quota_use.go
@@ -0,0 +1,150 @@
+package owner
+
+import (
+	"time"
+
+	"fawncove/internal/core/cluster"
+	"fawncove/internal/core/sched"
+	"fawncove/internal/peerpb"
+	"fawncove/internal/wire"
+)
+
+// quotaUse is what the tasks of teams use on this controller's machines.
+type quotaUse struct {
+	used      map[string]sched.Resources // by team
+	stopping  map[string]sched.Resources // the part of used that is being stopped, as of the last round of placement
+	lastStart map[string]time.Time       // when a task of each team was last started
+}
+
+func newQuotaUse() quotaUse {
+	return quotaUse{
+		used:      map[string]sched.Resources{},
+		stopping:  map[string]sched.Resources{},
+		lastStart: map[string]time.Time{},
+	}
+}
+
+// add adds n tasks of a job to what its team uses.
+func (q *quotaUse) add(j *Job, n float64) {
+	q.used[j.Record.Team] = q.used[j.Record.Team].Add(j.need(), n)
+}
+
+// addStopping adds a task of a job to what is being stopped of its team.
+func (q *quotaUse) addStopping(j *Job) {
+	q.stopping[j.Record.Team] = q.stopping[j.Record.Team].Add(j.need(), 1)
+}
+
+// countUse adds an attempt to what its team uses, once.
+func (o *Owner) countUse(a *attempt) {
+	if a.job != nil && !a.counted {
+		a.counted = true
+		o.quota.add(a.job, 1)
+	}
+}
+
+// uncountUse takes an attempt off what its team uses, once.
+func (o *Owner) uncountUse(a *attempt) {
+	if a.job != nil && a.counted {
+		a.counted = false
+		o.quota.add(a.job, -1)
+	}
+}
+
+// limitAllows reports whether the limit of the job's team, or this controller's share of it,
+// allows for one more task beside what may run on unreconciled machines.
+func (o *Owner) limitAllows(j *Job, unknownUse sched.Resources) bool {
+	return o.localLimit(j.Record.Team).Allows(o.quota.used[j.Record.Team].Add(unknownUse, 1), j.need())
+}
+
+// clusterUse returns what a team's tasks use on all controllers, as far as known.
+func (o *Owner) clusterUse(team string) sched.Resources {
+	sum := o.quota.used[team]
+	for _, p := range o.view.Peers {
+		if u := p.TeamUse[team]; u != nil && o.loop.Now.Sub(p.LastFrame) < cluster.UsageMaxAge {
+			sum.CPUs += u.GetCpus()
+			sum.GPUs += u.GetGpus()
+		}
+	}
+	return sum
+}
+
+// maxUse returns the most that tasks may use which run on some machines.
+func (o *Owner) maxUse(machines []*machine) sched.Resources {
+	var sum sched.Resources
+	for _, m := range machines {
+		sum = sum.Add(o.maxSize(m), 1)
+	}
+	return sum
+}
+
+// maxSize returns a machine's size, or that of the largest type while its type is not known.
+func (o *Owner) maxSize(m *machine) sched.Resources {
+	if m.size.CPUs > 0 {
+		return m.size
+	}
+	size := m.size
+	for _, t := range o.view.MachineTypes {
+		size = sched.Resources{CPUs: max(size.CPUs, t.CPUs), GPUs: max(size.GPUs, t.GPUs)}
+	}
+	return size
+}
+
+// tasksWithinLimit returns how many of n tasks of the job its team's limit has room for.
+func (o *Owner) tasksWithinLimit(j *Job, n int) int {
+	limit := o.localLimit(j.Record.Team)
+	if !limit.Any() {
+		return n
+	}
+	used, need := o.quota.used[j.Record.Team], j.need()
+	n = copiesWithin(n, limit.CPUs, used.CPUs, need.CPUs)
+	return copiesWithin(n, limit.GPUs, used.GPUs, need.GPUs)
+}
+
+// copiesWithin returns how many of n tasks fit a limit of one resource; 0 means no limit.
+func copiesWithin(n int, limit, used, need float64) int {
+	const rounding = 1e-6 // sums of fractions are not exact
+	if limit <= 0 || need <= 0 {
+		return n
+	}
+	return min(n, int(max(0, (limit-used+rounding)/need)))
+}
+
+// TeamUse returns what this controller's tasks use and want, for each team with a limit or a
+// guarantee.
+func (o *Owner) TeamUse() map[string]*peerpb.TeamUse {
+	uses := map[string]*peerpb.TeamUse{}
+	for _, t := range o.view.Settings.Cluster.Teams {
+		if !cluster.Unlimited(t) {
+			used := o.quota.used[t.Name]
+			uses[t.Name] = &peerpb.TeamUse{Team: t.Name, Cpus: used.CPUs, Gpus: used.GPUs, WantCpus: used.CPUs, WantGpus: used.GPUs}
+		}
+	}
+	for _, j := range o.jobs {
+		use := uses[j.Record.Team]
+		if use == nil || j.Ended || !j.ready() || len(j.queue) == 0 || !o.Owns(j) {
+			continue
+		}
+		n := float64(len(j.queue))
+		use.WantCpus += n * j.Record.CPUs
+		use.WantGpus += n * j.Record.GPUs
+		// A share has to have room for the largest task, and for all of a gang beside what
+		// runs.
+		least := j.need()
+		if j.Record.Shape == wire.Group {
+			least = o.quota.used[j.Record.Team].Add(j.need(), n)
+		}
+		use.MinCpus, use.MinGpus = max(use.MinCpus, least.CPUs), max(use.MinGpus, least.GPUs)
+	}
+	return uses
+}
+
+// PublishedTeamUse returns what this controller's tasks use and want, where others have to
+// know it, by team.
+func (o *Owner) PublishedTeamUse() []*peerpb.TeamUse {
+	uses := o.TeamUse()
+	var list []*peerpb.TeamUse
+	for _, team := range cluster.SortedKeys(uses) {
+		list = append(list, uses[team])
+	}
+	return list
+}
--- /dev/null
+++ b/internal/core/owner/registry.go
@@ -0,0 +1,113 @@
+package owner
+
+import (
+	"slices"
+	"strings"
+	"time"
+)
+
+// workerRegistry is the set of workers that this controller hears: the machines of its
+// block, and foreign workers, whose machines are in another block or in none.
+type workerRegistry struct {
+	machines  map[string]*machine // the block, by name
+	sorted    []*machine          // the block in order of name, see machinesByName
+	sortStale bool
+	foreign   map[string]*foreignWorker
+
+	lastHeartbeat time.Time // of any machine of the block
+	highestToken  uint64    // that any worker has shown
+
+	urgent          map[string]bool      // machines with commands that should not wait for a heartbeat
+	toProbe         map[string]bool      // machines to be asked for their tasks
+	probesInFlight  int                  // at most maxProbesInFlight
+	zoneCutOffUntil map[string]time.Time // until when the silent machines of a zone count as cut off
+}
+
+func newWorkerRegistry() workerRegistry {
+	return workerRegistry{
+		machines:        map[string]*machine{},
+		foreign:         map[string]*foreignWorker{},
+		urgent:          map[string]bool{},
+		toProbe:         map[string]bool{},
+		zoneCutOffUntil: map[string]time.Time{},
+	}
+}
+
+// add puts a machine into the block.
+func (w *workerRegistry) add(m *machine) {
+	w.machines[m.name] = m
+	w.sortStale = true
+}
+
+// remove takes a machine out of the block.
+func (w *workerRegistry) remove(name string) {
+	delete(w.machines, name)
+	w.sortStale = true
+}
+
+// machinesByName returns the machines of the block in order of name. The slice is reused
+// until the block changes.
+func (w *workerRegistry) machinesByName() []*machine {
+	if len(w.sorted) != len(w.machines) || w.sortStale {
+		w.sortStale = false
+		w.sorted = w.sorted[:0]
+		for _, m := range w.machines {
+			w.sorted = append(w.sorted, m)
+		}
+		slices.SortFunc(w.sorted, func(a, b *machine) int { return strings.Compare(a.name, b.name) })
+	}
+	return w.sorted
+}
+
+// unreconciled returns the machines that may run tasks which are not known here, by name.
+func (w *workerRegistry) unreconciled() []*machine {
+	var found []*machine
+	for _, m := range w.machinesByName() {
+		if m.mayRunUnknownTasks() {
+			found = append(found, m)
+		}
+	}
+	return found
+}
+
+// MachineCount returns how many machines are in the block.
+func (o *Owner) MachineCount() int { return len(o.workers.machines) }
+
+// Token returns the highest fencing token that any worker has shown here.
+func (o *Owner) Token() uint64 { return o.workers.highestToken }
+
+// UnreconciledMachines returns how many machines may run tasks that are not known here.
+func (o *Owner) UnreconciledMachines() int {
+	n := 0
+	for _, m := range o.workers.machines {
+		if m.mayRunUnknownTasks() {
+			n++
+		}
+	}
+	return n
+}
+
+// ResumedAfter notes that this controller was suspended for a while: the heartbeats it
+// missed meanwhile say nothing about the machines. Otherwise a leader that resumes would
+// return its whole block before it reads a single heartbeat.
+func (o *Owner) ResumedAfter(gap time.Duration) {
+	o.workers.lastHeartbeat = o.loop.Now
+	for _, m := range o.workers.machines {
+		m.lastHeartbeat = m.lastHeartbeat.Add(gap)
+	}
+}
+
+// EachMachine calls f for each machine of the block, in order of name.
+func (o *Owner) EachMachine(f func(name string, idle time.Duration, quarantined, unreachable bool)) {
+	for _, m := range o.workers.machinesByName() {
+		f(m.name, o.idleTime(m), m.quarantined, m.unreachable)
+	}
+}
+
+// idleTime returns for how long a machine that has reported has had no task.
+func (o *Owner) idleTime(m *machine) time.Duration {
+	if m.idleSince.IsZero() || m.agentEpoch == 0 {
+		return 0
+	}
+	return o.loop.Now.Sub(m.idleSince)
+}
--- a/internal/core/owner/rewrite_test.go
+++ b/internal/core/owner/rewrite_test.go
@@ -70,9 +70,9 @@
 	// the job is as old as it was.
 	b, _ := newOwner(t, []config.Team{{Name: "red"}}, wire.LeaseRecord{Term: 1, Leader: "n1", Partitions: map[string]string{"red": "n0"},
 		Blocks: map[string]wire.Block{"n0": {Grant: 1 << 18, Incarnation: 7}}})
-	b.partitions["red"] = 150
+	b.partitions.owned["red"] = 150
 	b.ApplyJob(wire.JobRecord{Job: wire.Job{ID: "wk-000001", Team: "red", Shape: wire.Array, Tasks: 1, CPUs: 1}}, RecordInfo{Version: 200, FirstVersion: 101, Form: 1})
-	if j := b.Job("wk-000001"); j.ready {
+	if j := b.Job("wk-000001"); j.ready() {
 		t.Error("a job that may run is taken for a new one")
 	}
 }
@@ -113,8 +113,8 @@
 // over; what is completed goes to another page.
 func TestForeignPageIsLeftAlone(t *testing.T) {
 	o, now := rewriter(t)
-	o.pages = append(o.pages, &page{version: 3, entries: map[string]int{"wk-000001": 20}, size: 20})
-	o.pageByEntry["wk-000001"] = o.pages[0]
+	o.completions.pages = append(o.completions.pages, &page{version: 3, entries: map[string]int{"wk-000001": 20}, size: 20})
+	o.completions.pageByEntry["wk-000001"] = o.completions.pages[0]
 	future, err := wire.Encode(map[string]any{"f": wire.EnvelopeForm + 1})
 	if err != nil {
 		t.Fatal(err)
@@ -123,7 +123,7 @@
 	if err == nil {
 		t.Fatal("read")
 	}
-	o.abandonPage(o.pages[0])
+	o.abandonPage(o.completions.pages[0])
 	o.loop.Begin(now.Add(time.Minute))
 	o.flushPages()
 	for _, e := range o.loop.Effects() {
@@ -131,7 +131,7 @@
 			t.Errorf("writes %s", x.Txn.Then[0].Put)
 		}
 	}
-	if p := o.pageByEntry["wk-000001"]; p == nil || p == o.pages[0] {
+	if p := o.completions.pageByEntry["wk-000001"]; p == nil || p == o.completions.pages[0] {
 		t.Error("what is completed has no page any more")
 	}
 }
@@ -147,7 +147,7 @@
 			t.Errorf("%s: %v, %v", name, entries, err)
 		}
 		o.adoptPage("fp/n0/0", 9, env, entries, err)
-		if p := o.pages[0]; p.unreadable || p.version != 9 {
+		if p := o.completions.pages[0]; p.unreadable || p.version != 9 {
 			t.Errorf("%s: left alone: %v, version %d", name, p.unreadable, p.version)
 		}
 	}
@@ -160,7 +160,7 @@
 	for _, carriedOut := range []bool{true, false} {
 		o, now := rewriter(t)
 		j := o.jobs["wk-000001"]
-		j.awaitsPages, j.ready = false, true
+		j.ownership = ready
 		o.markDone(j, 0)
 		o.queueCompletion(j, 0)
 		var txn eventloop.StateTxn
