--- a/internal/core/owner/bench_test.go
+++ b/internal/core/owner/bench_test.go
@@ -10,8 +10,8 @@
 	"fawncove/internal/wire"
 )
 
-// BenchmarkPlace looks for room for tasks while every machine is full, on the
-// fifth part of fleets of 1,000, 4,000 and 10,000 machines.
+// BenchmarkPlace runs rounds of placement while every machine is full, on the fifth part of
+// fleets of 1,000, 4,000 and 10,000 machines.
 func BenchmarkPlace(b *testing.B) {
 	for _, n := range []int{200, 800, 2000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -21,7 +21,7 @@
 			}
 			o, now := newOwner(b, []config.Team{{Name: "red", CPUs: 4000, CPUsMax: 80000}}, wire.LeaseRecord{Term: 3, Leader: "n1",
 				Blocks: map[string]wire.Block{"n0": {Grant: 1 << 18, Incarnation: 7, Machines: names}}, Partitions: map[string]string{"red": "n0"}})
-			mayStart(o)
+			renewLease(o)
 			for i, name := range names {
 				m := o.workers.machines[name]
 				m.machineType, m.zone, m.spot, m.agentEpoch, m.endpoint, m.size = "s4", "x", true, 1, "10.0.0.1:9000", sched.Resources{CPUs: 8, MemoryGB: 32}
--- /dev/null
+++ b/internal/core/owner/fencing_test.go
@@ -0,0 +1,128 @@
+package owner
+
+import (
+	"testing"
+	"time"
+
+	"fawncove/internal/core/eventloop"
+)
+
+// TestDeafMachineIsLost: a machine reports on and on while no command reaches it. Its
+// heartbeats must not make it alive or give it room; once it shows the raised token it is as
+// good as before.
+func TestDeafMachineIsLost(t *testing.T) {
+	for _, recovers := range []bool{false, true} {
+		o, m, now := newOneMachine(t, false)
+		sendHeartbeat(o, now, eventloop.HeartbeatRequest{Req: 1, Heartbeat: heartbeatOf(m, 1, 1, m.firstToken)})
+		submitArray(o, "wk-000001", "standard", 1, 1, now)
+		token := m.token
+		for s := 1; s < 30; s++ {
+			at := now.Add(time.Duration(s) * time.Second)
+			o.ChangesKnown(o.view.LeaseVersion, at)
+			for _, e := range tick(o, at) {
+				if d, ok := e.(eventloop.WorkerCommands); ok {
+					complete(o, at.Add(500*time.Millisecond), eventloop.Completion{ID: d.ID}) // no answer
+				}
+			}
+			if recovers && s > 8 {
+				token = o.fencingToken(m)
+			}
+			sendHeartbeat(o, at.Add(600*time.Millisecond), eventloop.HeartbeatRequest{Req: uint64(s), Heartbeat: heartbeatOf(m, 1, uint64(10+s), token)})
+			if s == 4 && o.usable(m) {
+				t.Error("has room though it did not answer a command")
+			}
+			renewLease(o)
+		}
+		if m.unreachable == recovers {
+			t.Errorf("receives commands again: %v, given up: %v", recovers, m.unreachable)
+		}
+	}
+}
+
+// TestOverdueCommandIsVoid: a controller is suspended after it has sent a start by a direct
+// command. It reads the worker's heartbeat before it learns that the command had no answer: the
+// answer to the heartbeat has to make the command void, as it keeps the agent epoch alive in
+// which the command may still arrive. And until the worker has shown the raised token nothing
+// more is started by a direct command.
+func TestOverdueCommandIsVoid(t *testing.T) {
+	o, m, now := newOneMachine(t, false)
+	sendHeartbeat(o, now, eventloop.HeartbeatRequest{Req: 1, Heartbeat: heartbeatOf(m, 1, 1, m.firstToken)})
+	submitArray(o, "wk-000001", "standard", 1, 1, now)
+	var sent eventloop.WorkerCommands
+	for _, e := range tick(o, now.Add(time.Second)) {
+		if d, ok := e.(eventloop.WorkerCommands); ok {
+			sent = d
+		}
+	}
+	if len(sent.Body.Commands) != 1 {
+		t.Fatalf("sent %+v, want one start", sent.Body)
+	}
+	at := now.Add(12 * time.Second)
+	o.ChangesKnown(o.view.LeaseVersion, at)
+	renewLease(o)
+	sendHeartbeat(o, at, eventloop.HeartbeatRequest{Req: 2, Heartbeat: heartbeatOf(m, 1, 5, m.firstToken)})
+	got := heartbeatAnswers(o.loop.Effects())
+	if len(got) != 1 || got[0].Token <= sent.Body.Token {
+		t.Errorf("answered with %+v after a command with token %d", got, sent.Body.Token)
+	}
+	complete(o, at, eventloop.Completion{ID: sent.ID})
+	j := submitArray(o, "wk-000002", "standard", 1, 1, at)
+	o.loop.Begin(at)
+	o.bind(j, m)
+	m.noCommandsBefore = time.Time{}
+	for _, e := range tick(o, at.Add(time.Second)) {
+		if d, ok := e.(eventloop.WorkerCommands); ok && len(d.Body.Commands) > 0 {
+			t.Errorf("%+v sent to a machine that may not receive it", d.Body)
+		}
+	}
+	sendHeartbeat(o, at.Add(2*time.Second), eventloop.HeartbeatRequest{Req: 3, Heartbeat: heartbeatOf(m, 1, 9, o.fencingToken(m))})
+	if !m.acknowledges() {
+		t.Error("shows the raised token, and does not count as acknowledging")
+	}
+}
+
+// TestRaisedTokenIsFollowed: another controller has kept a machine of this one's block alive
+// and raised its token. Within the grant its holder continues from there; a token of a later
+// grant means that another controller has taken over.
+func TestRaisedTokenIsFollowed(t *testing.T) {
+	o, m, now := newOneMachine(t, false)
+	sendHeartbeat(o, now, eventloop.HeartbeatRequest{Req: 1, Heartbeat: heartbeatOf(m, 1, 1, m.firstToken)})
+	raised := m.firstToken + 3
+	sendHeartbeat(o, now.Add(time.Second), eventloop.HeartbeatRequest{Req: 2, Heartbeat: heartbeatOf(m, 1, 8, raised)})
+	if got := heartbeatAnswers(o.loop.Effects()); len(got) != 1 || got[0].Token < raised || len(o.workers.foreign) > 0 || !m.acknowledges() {
+		t.Errorf("answered with %+v, foreign workers %d", got, len(o.workers.foreign))
+	}
+	sendHeartbeat(o, now.Add(2*time.Second), eventloop.HeartbeatRequest{Req: 3, Heartbeat: heartbeatOf(m, 1, 9, m.firstToken+1<<24)})
+	if len(o.workers.foreign) != 1 {
+		t.Error("a token of a later grant does not make its worker foreign")
+	}
+}
+
+// TestStartsCarryAShownToken: the block gets a new grant while a machine of it has shown only a
+// token of the grant before. A controller that keeps the machine alive raises the token it has
+// shown, so a start that is in flight for long must not carry more than that.
+func TestStartsCarryAShownToken(t *testing.T) {
+	o, m, now := newOneMachine(t, false)
+	sendHeartbeat(o, now, eventloop.HeartbeatRequest{Req: 1, Heartbeat: heartbeatOf(m, 1, 1, m.firstToken)})
+	b := o.view.Lease.Blocks["n0"]
+	b.Grant++
+	o.view.Lease.Blocks["n0"] = b
+	renewLease(o)
+	o.ApplyBlock(b)
+	if o.fencingToken(m) <= m.token {
+		t.Fatalf("the new grant's token is %d, shown is %d", o.fencingToken(m), m.token)
+	}
+	submitArray(o, "wk-000001", "urgent", 1, 1, now)
+	starts := 0
+	for _, e := range tick(o, now.Add(time.Second)) {
+		if d, ok := e.(eventloop.WorkerCommands); ok {
+			starts++
+			if d.Body.Token > m.token {
+				t.Errorf("a start with token %d, shown is %d", d.Body.Token, m.token)
+			}
+		}
+	}
+	if starts == 0 {
+		t.Error("nothing is started")
+	}
+}
--- a/internal/core/owner/owner.go
+++ b/internal/core/owner/owner.go
@@ -10,16 +10,17 @@
 // this controller's.
 //
 // It never starts a task without a valid block lease, beyond a team's limit or this
-// controller's share of it, or while tasks that it does not know of may be running in the
-// same place. It never lets a worker forget a completed task before that is stored. It
-// reads no clock and does no I/O: it takes events, and emits effects through the event loop.
+// controller's share of it, or one that may already run on a machine whose tasks are not
+// known yet. It never lets a worker forget a completed task before that is stored. It reads
+// no clock and does no I/O but its log: it takes events, and emits effects through the event
+// loop.
 //
 // The code by concern:
 //
 //	workers       registry.go, machine.go, heartbeat.go, observe.go, attempt.go, commands.go,
-//	              probe.go, fencing.go, foreign.go, health.go, failure.go
-//	jobs          job.go, job_state.go, job_end.go, completion_log.go, completion_read.go,
-//	              record_upgrade.go, snapshot.go
+//	              probe.go, fencing.go, foreign.go, health.go, failure.go, watermark.go
+//	jobs          job.go, job_state.go, job_end.go, run_time.go, completion_log.go,
+//	              completion_read.go, record_upgrade.go, snapshot.go
 //	placement     order.go, placement.go, filter.go, score.go, reservation.go, preemption.go
 //	quota         quota_use.go, quota_share.go
 //	block         block.go, handover.go, migration.go
