--- a/internal/core/owner/attempt.go
+++ b/internal/core/owner/attempt.go
@@ -8,11 +8,20 @@
 	"fawncove/internal/wire"
 )
 
-// The states of an attempt before its worker has reported one. From then on the state is
-// what the worker reports: wire.TaskRunning, wire.TaskFlushing, ..., wire.TaskEnded.
+// attemptState is the state of an attempt.
+//
+//	queued → sent                  the start is sent to the worker
+//	sent → as the worker reports   fetching, gathering, running, flushing, ended
+//	queued, sent → dropped         the start will certainly never be executed
+//	any reported → dropped         the worker has forgotten it, or its agent epoch is over
+type attemptState string
+
 const (
-	attemptQueued = "queued" // bound to a machine, its start not yet sent
-	attemptSent   = ""       // its start is sent, the worker has not reported it
+	attemptQueued   attemptState = "queued" // bound to a machine, its start not yet sent
+	attemptSent     attemptState = ""       // its start is sent, the worker has not reported it
+	attemptRunning  attemptState = wire.TaskRunning
+	attemptFlushing attemptState = wire.TaskFlushing
+	attemptEnded    attemptState = wire.TaskEnded
 )
 
 // delivery says how the start of an attempt was sent.
@@ -32,17 +41,16 @@
 	number  uint64
 	machine *machine
 
-	state    string // attemptQueued, attemptSent, or as the worker reported
-	reported bool   // the worker has reported it
-	stopping bool   // it is to be halted
-	counted  bool   // in what its team uses
+	state    attemptState
+	reported bool // the worker has reported it
+	stopping bool // it is to be halted
+	counted  bool // in what its team uses
 
 	delivery         delivery
 	answeredSequence uint64 // inHeartbeatAnswer: the heartbeat that was answered
 	inFlight         bool   // byCommand: the command has no answer yet
 	voidFromToken    uint64 // byCommand: a worker that has seen this token ignores the start; 0: it was answered
 
-	placedAt  time.Time
 	startedAt time.Time
 }
 
@@ -55,7 +63,7 @@
 func (a *attempt) key() attemptKey { return attemptKey{a.task, a.number} }
 
 // ended reports whether the worker has reported the end of the attempt.
-func (a *attempt) ended() bool { return a.state == wire.TaskEnded }
+func (a *attempt) ended() bool { return a.state == attemptEnded }
 
 // sortedAttempts returns the keys of a machine's attempts, oldest first.
 func sortedAttempts(m *machine) []attemptKey {
@@ -73,7 +81,7 @@
 // that an earlier owner started, or one that belongs to no job known here or is superseded,
 // which is then halted.
 func (o *Owner) adoptAttempt(m *machine, t *wire.TaskStatus) *attempt {
-	a := &attempt{task: t.Task, number: t.Attempt, machine: m, stopping: true, placedAt: o.loop.Now, startedAt: o.loop.Now}
+	a := &attempt{task: t.Task, number: t.Attempt, machine: m, stopping: true, startedAt: o.loop.Now}
 	m.attempts[a.key()] = a
 	id, i, ok := splitTask(t.Task)
 	j := o.jobs[id]
--- a/internal/core/owner/demand.go
+++ b/internal/core/owner/demand.go
@@ -16,7 +16,7 @@
 	starvedAfter = 75 * time.Second
 	// classStuckAfter is how long nothing of a class may be started before its waiting work
 	// counts as starved rather than queued.
-	classStuckAfter = 15 * time.Second
+	classIdleAfter = 15 * time.Second
 	// maxDemandGroups bounds the groups of waiting tasks that a renewal carries.
 	maxDemandGroups = 80
 )
@@ -80,8 +80,8 @@
 // all its tasks. Where others of its class are started it only waits for its turn: machines
 // rented for all of it would come when the backlog is gone.
 func (o *Owner) starved(j *Job) bool {
-	classStuck := o.loop.Now.Sub(o.runTimes.statsOf(j.Record.Class).lastStart) > classStuckAfter
-	return (o.loop.Now.Sub(j.waitSince) > starvedAfter && classStuck) || o.overdue(j)
+	classIdle := o.loop.Now.Sub(o.runTimes.statsOf(j.Record.Class).lastStart) > classIdleAfter
+	return (o.loop.Now.Sub(j.waitSince) > starvedAfter && classIdle) || o.overdue(j)
 }
 
 // roundedNeed returns what a task of the job needs, rounded up unless that would keep it
--- a/internal/core/owner/health_test.go
+++ b/internal/core/owner/health_test.go
@@ -101,10 +101,10 @@
 		t.Fatal("not placed")
 		return nil
 	}
-	one, two := on(j), on(other)
+	cancelled, cutOff := on(j), on(other)
 	o.EndJob(j)
 	w := o.view.Settings.Cluster.Workers
-	for s := 1; s < 60 && !one.unreachable; s++ {
+	for s := 1; s < 60 && !cancelled.unreachable; s++ {
 		at := now.Add(time.Duration(s) * time.Second)
 		o.ChangesKnown(o.view.LeaseVersion, at)
 		tick(o, at)
@@ -113,7 +113,7 @@
 			break
 		}
 	}
-	if two.unreachable {
+	if cutOff.unreachable {
 		t.Error("a machine that was only cut off is given up as well")
 	}
 }
--- a/internal/core/owner/job.go
+++ b/internal/core/owner/job.go
@@ -104,7 +104,7 @@
 func (j *Job) running() int {
 	n := 0
 	for _, a := range j.attempts {
-		if a.state == wire.TaskRunning || a.state == wire.TaskFlushing {
+		if a.state == attemptRunning || a.state == attemptFlushing {
 			n++
 		}
 	}
--- a/internal/core/owner/observe.go
+++ b/internal/core/owner/observe.go
@@ -116,7 +116,7 @@
 		if a.job == nil && t.State != wire.TaskEnded {
 			m.unknownAttempts++
 		}
-		if !a.ended() && a.state != t.State {
+		if !a.ended() && a.state != attemptState(t.State) {
 			o.setState(a, t)
 		}
 	}
@@ -132,7 +132,7 @@
 			m.recordImage(a.job.Record.Image, a.job.Record.ImageGB, o.view.MachineTypes[m.machineType].CacheGB, true)
 		}
 	}
-	a.state = t.State
+	a.state = attemptState(t.State)
 	o.log.Debug("task", "task", t.Task, "attempt", t.Attempt, "machine", m.name, "state", t.State, "reason", t.Reason)
 	if a.ended() {
 		o.handleAttemptEnd(a, t)
--- a/internal/core/owner/placement.go
+++ b/internal/core/owner/placement.go
@@ -127,15 +127,15 @@
 // maxFree returns the most that any candidate has free of each resource. A task that needs
 // more fits nowhere, which on a full fleet spares a look at every machine for every job.
 func (r *round) maxFree() sched.Resources {
-	var most sched.Resources
+	var largest sched.Resources
 	for _, c := range r.candidates {
-		most = sched.Resources{
-			CPUs:     max(most.CPUs, c.free.CPUs),
-			GPUs:     max(most.GPUs, c.free.GPUs),
-			MemoryGB: max(most.MemoryGB, c.free.MemoryGB),
+		largest = sched.Resources{
+			CPUs:     max(largest.CPUs, c.free.CPUs),
+			GPUs:     max(largest.GPUs, c.free.GPUs),
+			MemoryGB: max(largest.MemoryGB, c.free.MemoryGB),
 		}
 	}
-	return most
+	return largest
 }
 
 // placeTasks places as many of the job's waiting tasks as there is room for, and reports
@@ -240,13 +240,12 @@
 		o.Served.Started(&j.Record.Job, j.age(o.loop.Now))
 	}
 	a := &attempt{
-		job:      j,
-		index:    i,
-		task:     taskName(j.Record.ID, i),
-		number:   o.blockLease.Attempt(),
-		machine:  m,
-		state:    attemptQueued,
-		placedAt: o.loop.Now,
+		job:     j,
+		index:   i,
+		task:    taskName(j.Record.ID, i),
+		number:  o.blockLease.Attempt(),
+		machine: m,
+		state:   attemptQueued,
 	}
 	m.attempts[a.key()] = a
 	j.attempts[i] = a
--- a/internal/core/owner/preemption.go
+++ b/internal/core/owner/preemption.go
@@ -161,7 +161,7 @@
 // lostSeconds returns how much run time is lost if the attempt is stopped now.
 func (o *Owner) lostSeconds(a *attempt) float64 {
 	switch {
-	case a.state != wire.TaskRunning:
+	case a.state != attemptRunning:
 		return 0
 	case a.job.Record.CheckpointS > 0:
 		return a.job.Record.SaveS
--- a/internal/core/owner/quota_share.go
+++ b/internal/core/owner/quota_share.go
@@ -100,19 +100,19 @@
 	for node := range s.needs {
 		sum += s.shares[node]
 	}
-	short, stuck := false, false
+	short, tooSmall := false, false
 	if float64(sum) <= s.limit { // else the settings have changed
 		for node, target := range targets {
 			if node != s.self {
 				short = short || quota.NeedsMore(float64(s.shares[node]), target, s.needs[node])
-				stuck = stuck || quota.TooSmallToStart(float64(s.shares[node]), target, s.needs[node])
+				tooSmall = tooSmall || quota.TooSmallToStart(float64(s.shares[node]), target, s.needs[node])
 			}
 		}
 		if !short {
 			return share
 		}
 	}
-	if n, ok := quota.ReservationFor(share, targets[s.self], s.used, stuck); ok {
+	if n, ok := quota.ReservationFor(share, targets[s.self], s.used, tooSmall); ok {
 		return n
 	}
 	return share
