--- a/internal/core/controller/answers_test.go
+++ b/internal/core/controller/answers_test.go
@@ -83,7 +83,7 @@
 	if a, _ := reply.Body.(wire.JobAnswer); reply.Code != eventloop.ReplyOK || a.State != wire.Cancelled {
 		t.Errorf("answered %s %+v after its end was known", reply.Code, reply.Body)
 	}
-	if c.own.Job(id) != nil {
+	if c.owner.Job(id) != nil {
 		t.Error("the job is back after its end")
 	}
 }
@@ -131,7 +131,7 @@
 	if c.recovery != nil {
 		t.Error("takes the state for one that has lost data")
 	}
-	if c.own.Job(id) == nil {
+	if c.owner.Job(id) == nil {
 		t.Error("the job is not known")
 	}
 }
--- a/internal/core/controller/bench_test.go
+++ b/internal/core/controller/bench_test.go
@@ -35,8 +35,8 @@
 	c := New(s, cluster.Defaults(), slog.New(slog.NewTextHandler(io.Discard, nil)), 7)
 	now := time.Date(2026, 3, 1, 6, 0, 0, 0, time.UTC)
 	c.loop.Begin(now)
-	c.stateOK, c.writeSent, c.loaded = now, now, true
-	c.own.ChangesKnown(5, now)
+	c.stateOK, c.leaseWriteSentAt, c.loaded = now, now, true
+	c.owner.ChangesKnown(5, now)
 	c.view.MachineTypes["b8"] = wire.MachineType{Name: "b8", CPUs: 8, MemoryGB: 32, CacheGB: 20, FetchGBPS: 1, Price: 1, SpotPrice: 0.3, BootS: 30, Zones: []string{"x", "y"}}
 	rec := wire.LeaseRecord{Form: 2, Term: 3, Leader: "n0", Incarnation: 7, Partitions: map[string]string{"red": "n0"},
 		Blocks: map[string]wire.Block{}, Shares: map[string]wire.Shares{"red": {}}}
@@ -57,7 +57,7 @@
 	part.Blocks = map[string]wire.Block{}
 	for done := false; !done; {
 		done = true
-		budget := c.book.WriteBudget(c.view.Settings.ValueLimits())
+		budget := c.leasePages.WriteBudget(c.view.Settings.ValueLimits())
 		for _, node := range cluster.SortedKeys(rec.Blocks) {
 			blk := rec.Blocks[node]
 			have := len(part.Blocks[node].Machines)
@@ -70,7 +70,7 @@
 			part.Blocks[node] = blk
 		}
 		part.Sequence++
-		d, err := c.book.Write(&part, c.view.Settings.ValueLimits())
+		d, err := c.leasePages.Write(&part, c.view.Settings.ValueLimits())
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -80,7 +80,7 @@
 	c.applyLease(rec, 5)
 	for node := range rec.Blocks {
 		if node != "n0" {
-			c.onPeer(&peerpb.Frame{From: node, Incarnation: 7, LeaseForm: 2, Renewal: &peerpb.Renewal{Node: node, Incarnation: 7, Number: 1}})
+			c.handlePeerFrame(&peerpb.Frame{From: node, Incarnation: 7, LeaseForm: 2, Renewal: &peerpb.Renewal{Node: node, Incarnation: 7, Number: 1}})
 		}
 	}
 	var list wire.MachineList
@@ -90,7 +90,7 @@
 		}
 	}
 	listed := false
-	c.lead.RunAutoscaler()
+	c.leader.RunAutoscaler()
 	for _, e := range c.loop.Effects() {
 		if e, ok := e.(eventloop.CloudList); ok && !listed {
 			listed = c.loop.Complete(eventloop.Completion{ID: e.ID, Outcome: eventloop.Succeeded, Machines: list})
@@ -104,9 +104,9 @@
 			c.applyJob(wire.JobRecord{Job: wire.Job{ID: fmt.Sprintf("wk-%06d", i), Class: "c", Team: "red", Shape: wire.Array, Priority: "standard",
 				Tasks: 150, CPUs: 4, MemoryGB: 4, Spot: true, EstimateS: 60, Image: "img", ImageGB: 1}, Shard: wire.ShardName("red", 1)}, owner.RecordInfo{Version: uint64(10 + i)})
 		}
-		c.own.HandleHeartbeat(eventloop.HeartbeatRequest{Req: uint64(i), Heartbeat: wire.Heartbeat{Machine: name, Endpoint: "10.0.0.1:9000", Type: "b8", Zone: "x", Spot: true, AgentEpoch: 1, Sequence: 1}})
+		c.owner.HandleHeartbeat(eventloop.HeartbeatRequest{Req: uint64(i), Heartbeat: wire.Heartbeat{Machine: name, Endpoint: "10.0.0.1:9000", Type: "b8", Zone: "x", Spot: true, AgentEpoch: 1, Sequence: 1}})
 	}
-	c.leaseBusy = true
+	c.leaseWriteInFlight = true
 	return c, now
 }
 
@@ -126,10 +126,10 @@
 func BenchmarkPublish(b *testing.B) {
 	atSizes(b, func(b *testing.B, c *Core, _ time.Time, n int) {
 		for i := 0; b.Loop(); i += 17 {
-			c.leaseBusy = false
+			c.leaseWriteInFlight = false
 			c.loop.Begin(c.loop.Now)
-			c.lead.MachineDeleted(fmt.Sprintf("host-%06d", i%n))
-			c.publish()
+			c.leader.MachineDeleted(fmt.Sprintf("host-%06d", i%n))
+			c.publishLease()
 		}
 	})
 }
--- a/internal/core/controller/clear.go
+++ b/internal/core/controller/clear.go
@@ -49,7 +49,7 @@
 		return
 	}
 	for _, e := range f.GetFreshnessReplies() {
-		if e.GetTo() != c.view.Self || e.GetProcess() != c.hold.Incarnation() || e.GetRequest() > c.asks || e.GetRequest()+asksKept <= c.asks {
+		if e.GetTo() != c.view.Self || e.GetProcess() != c.blockLease.Incarnation() || e.GetRequest() > c.asks || e.GetRequest()+asksKept <= c.asks {
 			continue
 		}
 		if at := c.askedAt[e.GetRequest()%asksKept]; at.After(p.CancellationsKnownUntil) {
@@ -65,5 +65,5 @@
 			least = p.CancellationsKnownUntil
 		}
 	}
-	c.own.CancellationsKnown(least)
+	c.owner.CancellationsKnown(least)
 }
--- a/internal/core/controller/controller.go
+++ b/internal/core/controller/controller.go
@@ -23,14 +23,14 @@
 
 // Core is the state of one controller.
 type Core struct {
-	view *cluster.View
-	hold *blocklease.Holder
-	log  *slog.Logger
+	view       *cluster.View
+	blockLease *blocklease.Holder
+	log        *slog.Logger
 
 	loop eventloop.Loop
 
-	own  *owner.Owner
-	lead *leader.Leader // nil while another controller leads
+	owner  *owner.Owner
+	leader *leader.Leader // nil while another controller leads
 
 	// What the state service holds, as far as this controller knows.
 	loaded     bool
@@ -50,21 +50,21 @@
 	typesBusy bool
 
 	// The lease value.
-	leaseSeen    time.Time // the election's patience counts from here
-	valueSeen    time.Time // when the value in view was first seen
-	baseSeen     time.Time // and the one before it
-	leaseBusy    bool
-	book         leasevalue.PageTable // the pages beside the lease value
-	unread       *wire.Pair           // a lease value whose pages are not all known
-	unreadSince  time.Time
-	leaseReading bool
-	renewAt      time.Time
-	tradedAt     time.Time
-	unreadable   uint64    // version of a lease value that could not be read
-	leaving      bool      // this process is about to end
-	refused      error     // why this version cannot serve this cluster
-	awayUntil    time.Time // no block is asked for before then, see resign
-	level        level
+	leaderSeenAt           time.Time // the election's patience counts from here
+	leaseAppliedAt         time.Time // when the value in view was first seen
+	previousLeaseAppliedAt time.Time // and the one before it
+	leaseWriteInFlight     bool
+	leasePages             leasevalue.PageTable // the pages beside the lease value
+	incompleteLease        *wire.Pair           // a lease value whose pages are not all known
+	incompleteSince        time.Time
+	leaseReadInFlight      bool
+	nextRenewalAt          time.Time
+	quotaCheckedAt         time.Time
+	unreadableVersion      uint64    // version of a lease value that could not be read
+	shuttingDown           bool      // this process is about to end
+	incompatible           error     // why this version cannot serve this cluster
+	noBlockUntil           time.Time // no block is asked for before then, see resign
+	level                  level
 
 	// The state's generation, and what happens when it has lost data.
 	gen      cluster.Stored[recovery.Generation]
@@ -74,16 +74,16 @@
 	waking   waking
 
 	// What was last told to the peers.
-	pingAt time.Time
+	nextHeartbeatAt time.Time
 
-	steppedAt time.Time // when the last event was handled
-	wokeAt    time.Time // until when it last stood still, or was without the state service
-	writeSent time.Time // when the last write of the lease value went out
-	cancelled uint64    // no cancellation beyond this revision has been told from here
-	asks      uint64    // see clear.go
-	askedAt   [asksKept]time.Time
-	spare     float64          // processors free here beyond what waits
-	room      cluster.Capacity // free here
+	steppedAt        time.Time // when the last event was handled
+	wokeAt           time.Time // until when it last stood still, or was without the state service
+	leaseWriteSentAt time.Time // when the last write of the lease value went out
+	cancelled        uint64    // no cancellation beyond this revision has been told from here
+	asks             uint64    // see clear.go
+	askedAt          [asksKept]time.Time
+	spare            float64          // processors free here beyond what waits
+	room             cluster.Capacity // free here
 }
 
 // New returns the core of the controller described by cfg. incarnation must
@@ -96,9 +96,9 @@
 
 // begin makes the core that of a process that knows nothing yet.
 func (c *Core) begin(view *cluster.View, log *slog.Logger, incarnation uint64) {
-	c.view, c.log, c.hold, c.ended = view, log, blocklease.New(incarnation, view.Params.LeaseDuration), map[string]wire.EndRecord{}
-	c.book.PreLevels = !view.Params.Levels.KnowsLevels()
-	c.own = owner.New(&c.loop, c.view, c.hold, c, log)
+	c.view, c.log, c.blockLease, c.ended = view, log, blocklease.New(incarnation, view.Params.LeaseDuration), map[string]wire.EndRecord{}
+	c.leasePages.PreLevels = !view.Params.Levels.KnowsLevels()
+	c.owner = owner.New(&c.loop, c.view, c.blockLease, c, log)
 }
 
 // Step handles one event and returns what is to be done.
@@ -106,7 +106,7 @@
 	c.loop.Begin(now)
 	if gap := now.Sub(c.steppedAt); gap > stoodStill && !c.steppedAt.IsZero() {
 		c.log.Info("stood still", "for", gap.Round(time.Millisecond))
-		c.own.ResumedAfter(gap)
+		c.owner.ResumedAfter(gap)
 		c.wokeAt = now
 	}
 	c.steppedAt = now
@@ -114,17 +114,17 @@
 	case eventloop.Tick:
 		c.tick()
 	case eventloop.Shutdown:
-		c.leave()
+		c.shutDown()
 	case eventloop.HeartbeatRequest:
-		c.own.HandleHeartbeat(e)
+		c.owner.HandleHeartbeat(e)
 	case eventloop.SubmitRequest:
-		c.onSubmit(e)
+		c.handleSubmit(e)
 	case eventloop.QueryRequest:
-		c.onPoll(e)
+		c.handleQuery(e)
 	case eventloop.CancelRequest:
-		c.onCancel(e)
+		c.handleCancel(e)
 	case eventloop.PeerFrame:
-		c.onPeer(e.Frame)
+		c.handlePeerFrame(e.Frame)
 	case eventloop.Completion:
 		if e.FromStateService && (e.Outcome == eventloop.Succeeded || e.Outcome == eventloop.NotFound || e.Outcome == eventloop.Conflict) {
 			if !c.reachable() && !c.stateOK.IsZero() {
@@ -134,20 +134,20 @@
 		}
 		c.witness(&e)
 		c.loop.Complete(e)
-		if c.lead != nil && c.lead.PublishNow() {
-			c.leadTick()
+		if c.leader != nil && c.leader.PublishNow() {
+			c.runLeader()
 		}
 	default:
 		c.log.Error("unknown event", "type", fmt.Sprintf("%T", ev))
 	}
-	c.own.PlaceAndSend()
+	c.owner.PlaceAndSend()
 	return c.loop.Effects()
 }
 
 // Healthy tells whether users can be served here: everything is read, and
 // where the state service is out of reach, nobody else does better.
 func (c *Core) Healthy() bool {
-	if c.leaving || !c.serves() || len(c.view.MachineTypes) == 0 || c.view.LeaseVersion == 0 {
+	if c.shuttingDown || !c.serves() || len(c.view.MachineTypes) == 0 || c.view.LeaseVersion == 0 {
 		return false
 	}
 	if c.reachable() {
@@ -180,7 +180,7 @@
 func (c *Core) Partitions() map[string]string { return c.view.Lease.Partitions }
 
 // MachineCount tells how many machines are in this controller's block.
-func (c *Core) MachineCount() int { return c.own.MachineCount() }
+func (c *Core) MachineCount() int { return c.owner.MachineCount() }
 
 // tick does what time alone brings about.
 func (c *Core) tick() {
@@ -194,21 +194,21 @@
 		return
 	}
 	c.watch()
-	if c.refused != nil {
+	if c.incompatible != nil {
 		return
 	}
-	c.readLease()
-	c.resign()
-	c.trade()
-	c.elect()
-	c.renew()
-	c.ping()
+	c.readIncompleteLease()
+	c.stepDownIfIsolated()
+	c.requestQuotaChanges()
+	c.campaign()
+	c.renewBlockLease()
+	c.heartbeatPeers()
 	c.tellLevel()
-	c.own.StorePending()
+	c.owner.StorePending()
 	c.runVerify()
-	c.own.CheckMachines()
-	c.own.LogServiceReport()
-	c.leadTick()
+	c.owner.CheckMachines()
+	c.owner.LogServiceReport()
+	c.runLeader()
 }
 
 // stoodStill is a gap between steps that says that the process did not run: time
@@ -221,7 +221,7 @@
 	every := 30 * time.Second
 	if len(c.view.MachineTypes) == 0 {
 		every = time.Second
-	} else if c.lead == nil {
+	} else if c.leader == nil {
 		return
 	}
 	if c.typesBusy || (!c.typesAt.IsZero() && c.loop.Now.Sub(c.typesAt) < every) {
@@ -241,33 +241,33 @@
 	})})
 }
 
-// ping keeps the links to the peers alive and carries counts for display.
-func (c *Core) ping() {
-	if c.loop.Now.Before(c.pingAt) {
+// heartbeatPeers keeps the links to the peers alive and carries counts for display.
+func (c *Core) heartbeatPeers() {
+	if c.loop.Now.Before(c.nextHeartbeatAt) {
 		return
 	}
-	c.pingAt = c.loop.Now.Add(time.Second)
-	f := c.frame()
-	busy, _, size := c.own.ProcessorUse()
+	c.nextHeartbeatAt = c.loop.Now.Add(time.Second)
+	f := c.newFrame()
+	busy, _, size := c.owner.ProcessorUse()
 	c.spare = size - busy
 	f.SpareCpus = c.spare
-	f.Teams = c.own.PublishedTeamUse()
-	c.room = c.own.Capacity()
+	f.Teams = c.owner.PublishedTeamUse()
+	c.room = c.owner.Capacity()
 	c.room.Size = size
 	f.FreeCpus, f.ImageCpus, f.SizeCpus = c.room.Free, c.room.Images, size
-	f.FreeSlots = c.own.FreeSlots()
-	f.Progress = c.own.ChangedCounts()
-	f.NoHeartbeats = c.own.NoHeartbeats()
-	f.ForeignWorkers = c.own.ForeignWorkersByHolder()
+	f.FreeSlots = c.owner.FreeSlots()
+	f.Progress = c.owner.ChangedCounts()
+	f.NoHeartbeats = c.owner.NoHeartbeats()
+	f.ForeignWorkers = c.owner.ForeignWorkersByHolder()
 	c.askAll(f)
 	for _, name := range cluster.SortedKeys(c.view.Peers) {
 		c.loop.Emit(eventloop.PeerSend{To: name, Frame: f})
 	}
 }
 
-// frame is the beginning of every message to another controller.
-func (c *Core) frame() *peerpb.Frame {
-	f := &peerpb.Frame{From: c.view.Self, Incarnation: c.hold.Incarnation(), StateOk: c.reachable(),
+// newFrame is the beginning of every message to another controller.
+func (c *Core) newFrame() *peerpb.Frame {
+	f := &peerpb.Frame{From: c.view.Self, Incarnation: c.blockLease.Incarnation(), StateOk: c.reachable(),
 		LeaseForm: leasevalue.FormPages}
 	c.tellGeneration(f)
 	if c.view.Params.Levels.KnowsLevels() {
@@ -281,7 +281,7 @@
 // those that go out every second.
 const missedNews = 1500 * time.Millisecond
 
-func (c *Core) onPeer(f *peerpb.Frame) {
+func (c *Core) handlePeerFrame(f *peerpb.Frame) {
 	p := c.view.Peers[f.GetFrom()]
 	if p == nil {
 		c.log.Warn("frame from an unknown peer", "from", f.GetFrom())
@@ -292,11 +292,11 @@
 		return
 	}
 	if f.GetHello() {
-		c.loop.Emit(eventloop.PeerSend{To: f.GetFrom(), Frame: c.frame()})
+		c.loop.Emit(eventloop.PeerSend{To: f.GetFrom(), Frame: c.newFrame()})
 		return
 	}
 	if f.GetIncarnation() != p.Incarnation || c.loop.Now.Sub(p.LastFrame) > missedNews {
-		c.own.ResendCounts()
+		c.owner.ResendCounts()
 	}
 	p.Incarnation, p.SeenLevel = f.GetIncarnation(), feature.Level(f.GetSeenLevel())
 	p.Generation, p.StateLost, p.StateRestored, p.Revision = f.GetGeneration(), f.GetStateLost(), f.GetStateRestored(), f.GetRevision()
@@ -318,13 +318,13 @@
 	p.UpdateTeamUse(f.GetTeams())
 	c.answered(p, f)
 	for _, g := range f.GetProgress() {
-		if j := c.own.Job(g.GetId()); j != nil {
+		if j := c.owner.Job(g.GetId()); j != nil {
 			j.ApplyReportedCounts(int(g.GetDone()), int(g.GetRunning()))
 		}
 	}
-	c.own.LearnMachines(f.GetKnownMachines())
+	c.owner.LearnMachines(f.GetKnownMachines())
 	if r := f.GetRenewal(); r != nil && r.GetNode() == f.GetFrom() {
-		c.onRenewal(r)
+		c.handleRenewal(r)
 	}
 	c.heardOfLoss(p, f.GetRecoveryView())
 }
--- a/internal/core/controller/controller_test.go
+++ b/internal/core/controller/controller_test.go
@@ -28,7 +28,7 @@
 	now := time.Date(2026, 3, 1, 6, 0, 0, 0, time.UTC)
 	c.loop.Begin(now)
 	c.loaded = true
-	c.own.ChangesKnown(5, now)
+	c.owner.ChangesKnown(5, now)
 	c.stateOK = now
 	c.view.MachineTypes["s4"] = wire.MachineType{Name: "s4", CPUs: 4, MemoryGB: 16, CacheGB: 20, FetchGBPS: 1, Price: 1, SpotPrice: 0.3, BootS: 6, Zones: []string{"x", "y"}}
 	c.applyLease(rec, 5)
@@ -44,7 +44,7 @@
 	c.stateOK = start
 	for ms := 500; ms <= 16000; ms += 500 {
 		c.Step(start.Add(time.Duration(ms)*time.Millisecond), eventloop.PeerFrame{Frame: &peerpb.Frame{From: "n1", StateOk: ms < 4000 || ms > 10000}})
-		if got, want := c.refusedAlone(), ms > 10000+int(refusedProof.Milliseconds())+500; got != want {
+		if got, want := c.isolatedFromState(), ms > 10000+int(peerReachableFor.Milliseconds())+500; got != want {
 			t.Errorf("refused alone at %d ms: %v, want %v", ms, got, want)
 		}
 	}
@@ -94,18 +94,18 @@
 		b.Machines = slices.DeleteFunc(b.Machines, func(n string) bool { return n[len(n)-1] == '7' }) // off every page
 		rec.Blocks[node] = b
 	}
-	c.leaseBusy = false
+	c.leaseWriteInFlight = false
 	c.loop.Begin(now)
 	c.writeLease(rec, func() { t.Error("stored") })
-	if len(c.loop.Effects()) != 0 || c.leaseBusy {
-		t.Fatalf("%d effects, busy %v after a write that does not fit", len(c.loop.Effects()), c.leaseBusy)
+	if len(c.loop.Effects()) != 0 || c.leaseWriteInFlight {
+		t.Fatalf("%d effects, busy %v after a write that does not fit", len(c.loop.Effects()), c.leaseWriteInFlight)
 	}
 	for i := 7; i < 10000; i += 10 {
-		c.lead.MachineDeleted(fmt.Sprintf("host-%06d", i))
+		c.leader.MachineDeleted(fmt.Sprintf("host-%06d", i))
 	}
 	for i, most := range []int{1, 12} { // first the value alone, then as much as fits
 		changes := 0
-		c.leaseBusy = false
+		c.leaseWriteInFlight = false
 		for _, e := range c.Step(now.Add(time.Duration(1+i)*6*time.Second), eventloop.Tick{}) {
 			if txn, ok := e.(eventloop.StateTxn); ok && txn.LeaseBudget {
 				changes = len(txn.Txn.Then)
@@ -123,8 +123,8 @@
 func TestClockBehindPredecessor(t *testing.T) {
 	c, _ := newCore(t, []config.Team{{Name: "free"}}, wire.LeaseRecord{Term: 3, Leader: "n1",
 		Blocks: map[string]wire.Block{"n0": {Grant: 1 << 18, Incarnation: 20}}})
-	if got := c.hold.Incarnation(); got <= 20 || c.hold.Held() {
-		t.Errorf("incarnation %d, holds a block: %v", got, c.hold.Held())
+	if got := c.blockLease.Incarnation(); got <= 20 || c.blockLease.Held() {
+		t.Errorf("incarnation %d, holds a block: %v", got, c.blockLease.Held())
 	}
 }
 
--- a/internal/core/controller/jobs.go
+++ b/internal/core/controller/jobs.go
@@ -73,9 +73,9 @@
 			c.loadPage(asked, after, rev, seen)
 			return
 		}
-		for id, j := range c.own.Jobs() {
+		for id, j := range c.owner.Jobs() {
 			if !seen[jobPrefix+id] && j.Version <= rev {
-				c.own.EndJob(j)
+				c.owner.EndJob(j)
 			}
 		}
 		c.fetchLease(func(outcome eventloop.Outcome) {
@@ -89,20 +89,20 @@
 			}
 			c.loading, c.loaded, c.kept = false, true, recovery.KnownState{}
 			c.rev = rev
-			c.own.ChangesKnown(rev, asked)
+			c.owner.ChangesKnown(rev, asked)
 			c.cancelled = max(c.cancelled, rev, 1) // an earlier process may have told of any
-			c.leaseSeen = c.loop.Now
-			if b, ok := c.view.Lease.Blocks[c.view.Self]; ok && b.Incarnation >= c.hold.Incarnation() && !c.hold.Held() {
-				c.hold.RaiseIncarnation(b.Incarnation)
+			c.leaderSeenAt = c.loop.Now
+			if b, ok := c.view.Lease.Blocks[c.view.Self]; ok && b.Incarnation >= c.blockLease.Incarnation() && !c.blockLease.Held() {
+				c.blockLease.RaiseIncarnation(b.Incarnation)
 			}
-			if c.view.Lease.Leader == c.view.Self && c.view.Lease.Incarnation >= c.hold.Incarnation() && c.lead == nil {
-				c.hold.RaiseIncarnation(c.view.Lease.Incarnation)
+			if c.view.Lease.Leader == c.view.Self && c.view.Lease.Incarnation >= c.blockLease.Incarnation() && c.leader == nil {
+				c.blockLease.RaiseIncarnation(c.view.Lease.Incarnation)
 			}
-			c.renewAt = c.loop.Now
-			c.log.Info("state read", "jobs", len(c.own.Jobs()), "revision", rev)
+			c.nextRenewalAt = c.loop.Now
+			c.log.Info("state read", "jobs", len(c.owner.Jobs()), "revision", rev)
 			c.watch()
-			c.elect()
-			c.renew()
+			c.campaign()
+			c.renewBlockLease()
 		})
 	})})
 }
@@ -129,7 +129,7 @@
 				}
 			}
 			c.rev = max(c.rev, d.Changes.Revision)
-			c.own.ChangesKnown(c.rev, sent)
+			c.owner.ChangesKnown(c.rev, sent)
 			c.watch()
 		case eventloop.Compacted:
 			c.log.Info("watch too old, reading again")
@@ -147,13 +147,13 @@
 func (c *Core) applyPut(key string, value []byte, version uint64) {
 	switch {
 	case key == leaseKey:
-		c.applyValue(wire.Pair{Key: key, Value: value, Version: version})
+		c.applyLeaseValue(wire.Pair{Key: key, Value: value, Version: version})
 	case strings.HasPrefix(key, leasevalue.PagePrefix):
-		if _, err := c.book.ReadPage(key, value); err != nil {
+		if _, err := c.leasePages.ReadPage(key, value); err != nil {
 			c.log.Error("lease page", "err", err)
 		}
-		if c.unread != nil {
-			c.applyValue(*c.unread)
+		if c.incompleteLease != nil {
+			c.applyLeaseValue(*c.incompleteLease)
 		}
 	case strings.HasPrefix(key, jobPrefix):
 		env, rec, err := c.openJob(key, value)
@@ -184,8 +184,8 @@
 
 func (c *Core) applyDelete(key string, version uint64) {
 	if id, ok := strings.CutPrefix(key, jobPrefix); ok {
-		if j := c.own.Job(id); j != nil && version >= j.Version {
-			c.own.EndJob(j)
+		if j := c.owner.Job(id); j != nil && version >= j.Version {
+			c.owner.EndJob(j)
 		}
 	} else if strings.HasPrefix(key, LevelPrefix) {
 		c.applyLevel(key, nil, version)
@@ -212,7 +212,7 @@
 	if _, ok := c.ended[rec.ID]; ok {
 		return
 	}
-	c.own.ApplyJob(rec, at)
+	c.owner.ApplyJob(rec, at)
 }
 
 // applyEnd notes that a job is over. An end is final.
@@ -233,8 +233,8 @@
 			c.endedOrder = c.endedOrder[1:]
 		}
 	}
-	if j := c.own.Job(id); j != nil {
-		c.own.EndJob(j)
+	if j := c.owner.Job(id); j != nil {
+		c.owner.EndJob(j)
 	}
 }
 
@@ -271,7 +271,7 @@
 		j.RetryEndAt = c.loop.Now.Add(300 * time.Millisecond)
 		switch {
 		case d.Outcome == eventloop.Succeeded:
-			c.own.Served.Ended(&j.Record.Job, state == wire.Cancelled, j.Started() || j.ReportedCounts != [2]int{})
+			c.owner.Served.Ended(&j.Record.Job, state == wire.Cancelled, j.Started() || j.ReportedCounts != [2]int{})
 			c.applyEnd(id, rec, d.Txn.Revision)
 			then(true)
 		case d.Outcome == eventloop.NoAnswer:
@@ -280,13 +280,13 @@
 			job, begun := j.Record.Job, j.Started() || j.ReportedCounts != [2]int{}
 			c.refresh(id, func(bool) {
 				if e, over := c.ended[id]; over && e.State == state {
-					c.own.Served.Ended(&job, state == wire.Cancelled, begun)
+					c.owner.Served.Ended(&job, state == wire.Cancelled, begun)
 				}
 				then(c.HasEnded(id))
 			})
 		case d.Outcome == eventloop.Conflict:
 			c.refresh(id, func(ok bool) {
-				if j := c.own.Job(id); ok && j != nil && !j.Ended && tries > 0 {
+				if j := c.owner.Job(id); ok && j != nil && !j.Ended && tries > 0 {
 					c.StoreEnd(j, state, tries-1, then)
 					return
 				}
@@ -316,7 +316,7 @@
 		}
 		// Not over a moment ago. The job's record is read second: should the
 		// job end in between, the record is missing and nothing is concluded.
-		known := c.own.Job(id) != nil
+		known := c.owner.Job(id) != nil
 		c.loop.Emit(eventloop.StateGet{Key: jobPrefix + id, ID: c.loop.Call(func(d eventloop.Completion) {
 			switch d.Outcome {
 			case eventloop.Succeeded:
@@ -334,7 +334,7 @@
 // reread is refresh after a transaction that failed by these keys. A record that has
 // come, where none was known, needs no reading of its end first.
 func (c *Core) reread(id string, failed []string, then func(ok bool)) {
-	if c.own.Job(id) != nil || !slices.Contains(failed, jobPrefix+id) {
+	if c.owner.Job(id) != nil || !slices.Contains(failed, jobPrefix+id) {
 		c.refresh(id, then)
 		return
 	}
@@ -356,7 +356,7 @@
 // lost data. known says that the job was known when its record was asked for: one that
 // has come since, by a submission that was carried out late, proves nothing.
 func (c *Core) missing(id string, known bool, then func(ok bool)) {
-	j := c.own.Job(id)
+	j := c.owner.Job(id)
 	c.loop.Emit(eventloop.StateGet{Key: endPrefix + id, ID: c.loop.Call(func(d eventloop.Completion) {
 		switch {
 		case d.Outcome == eventloop.Succeeded:
@@ -372,7 +372,7 @@
 
 func (c *Core) jobAnswer(j *owner.Job) wire.JobAnswer {
 	a := wire.JobAnswer{ID: j.Record.ID, State: wire.Pending, Done: j.ReportedCounts[0], Running: j.ReportedCounts[1]}
-	if c.own.Owns(j) {
+	if c.owner.Owns(j) {
 		a.Done, a.Running = j.Counts()
 	}
 	if a.Running > 0 {
@@ -453,7 +453,7 @@
 	}
 	rank, patience := changes, changePatience
 	if poll {
-		if rank = pollsUnknown; c.own.Job(id) != nil {
+		if rank = pollsUnknown; c.owner.Job(id) != nil {
 			rank = pollsKnown
 		}
 		patience = pollPatience
@@ -503,7 +503,7 @@
 func (c *Core) tell(q question, current, none bool) {
 	if e, over := c.ended[q.id]; over {
 		q.then(nil, &e, true)
-	} else if j := c.own.Job(q.id); current && j != nil && !j.Ended {
+	} else if j := c.owner.Job(q.id); current && j != nil && !j.Ended {
 		q.then(j, nil, true)
 	} else {
 		q.then(nil, nil, none)
@@ -540,7 +540,7 @@
 		if _, ok := known[q.id]; ok {
 			continue
 		}
-		j := c.own.Job(q.id)
+		j := c.owner.Job(q.id)
 		if known[q.id] = j != nil && !j.Ended; known[q.id] {
 			conds = append(conds, wire.Condition{Key: jobPrefix + q.id, Version: j.Version})
 		} else {
@@ -621,7 +621,7 @@
 	}
 }
 
-func (c *Core) onPoll(e eventloop.QueryRequest) {
+func (c *Core) handleQuery(e eventloop.QueryRequest) {
 	if !c.mayAsk(e.Req, e.ID) {
 		return
 	}
@@ -632,7 +632,7 @@
 	})
 }
 
-func (c *Core) onCancel(e eventloop.CancelRequest) {
+func (c *Core) handleCancel(e eventloop.CancelRequest) {
 	if !c.mayAsk(e.Req, e.ID) {
 		return
 	}
@@ -698,7 +698,7 @@
 	return true
 }
 
-func (c *Core) onSubmit(e eventloop.SubmitRequest) {
+func (c *Core) handleSubmit(e eventloop.SubmitRequest) {
 	if e.Job.ID == "" {
 		c.loop.Reply(e.Req, eventloop.ReplyInvalid, wire.ErrorAnswer{Error: fmt.Sprint(e.Err)})
 		return
@@ -712,7 +712,7 @@
 	if e.Err == nil {
 		code, why = c.refusal(&e.Job)
 	}
-	if code != eventloop.NoReply || c.own.Job(id) != nil || c.HasEnded(id) {
+	if code != eventloop.NoReply || c.owner.Job(id) != nil || c.HasEnded(id) {
 		c.refuse(e.Req, id, code, why)
 		return
 	}
@@ -757,7 +757,7 @@
 		value, form = env, env.Form
 	}
 	c.userWrites++
-	c.own.Served.Submitted(&rec.Job)
+	c.owner.Served.Submitted(&rec.Job)
 	c.loop.Emit(eventloop.StateTxn{
 		Txn: wire.Txn{
 			If:   []wire.Condition{{Key: jobPrefix + id}, {Key: endPrefix + id}},
@@ -770,7 +770,7 @@
 			}
 			switch d.Outcome {
 			case eventloop.Succeeded:
-				c.own.Served.Accepted(&rec.Job)
+				c.owner.Served.Accepted(&rec.Job)
 				c.applyJob(rec, owner.RecordInfo{Version: d.Txn.Revision, Form: form})
 				if c.recovery != nil {
 					c.loop.Unavailable(req) // perhaps it was stored in what is lost
@@ -780,12 +780,12 @@
 				c.loop.Reply(req, eventloop.ReplyCreated, wire.JobAnswer{ID: id, State: wire.Pending})
 			case eventloop.Conflict, eventloop.NoAnswer: // it is known already, or perhaps stored and only the answer lost
 				c.reread(id, d.Txn.Failed, func(ok bool) {
-					if d.Outcome == eventloop.NoAnswer && (c.HasEnded(id) || (ok && c.own.Job(id) != nil)) {
-						c.own.Served.Accepted(&rec.Job)
+					if d.Outcome == eventloop.NoAnswer && (c.HasEnded(id) || (ok && c.owner.Job(id) != nil)) {
+						c.owner.Served.Accepted(&rec.Job)
 					}
 					if end, over := c.ended[id]; over {
 						c.known(req, id, nil, &end)
-					} else if j := c.own.Job(id); !ok || j == nil || j.Ended || !c.known(req, id, j, nil) {
+					} else if j := c.owner.Job(id); !ok || j == nil || j.Ended || !c.known(req, id, j, nil) {
 						c.loop.Unavailable(req)
 					}
 				})
@@ -809,7 +809,7 @@
 // While the state is being rebuilt workers are answered with their own tokens, as
 // those of others are, so that what runs lives on.
 func (c *Core) WorkersServed() bool {
-	return c.recovery != nil || c.serves() && (c.hold.Held() || !c.refusedAlone())
+	return c.recovery != nil || c.serves() && (c.blockLease.Held() || !c.isolatedFromState())
 }
 
 // HasEnded tells whether a job is known to be over.
--- a/internal/core/controller/lead.go
+++ b/internal/core/controller/lead.go
@@ -13,111 +13,111 @@
 // Here the core and its leader meet: what the core hands on to it, and what it
 // tells it of itself.
 
-// local is what the leader asks its own controller.
-type local struct {
+// leaderHost is what the leader asks its own controller.
+type leaderHost struct {
 	*owner.Owner
 	core *Core
 }
 
 // Renewal describes the controller as its next renewal would.
-func (l local) Renewal() *peerpb.Renewal { return l.core.Renewal() }
+func (l leaderHost) Renewal() *peerpb.Renewal { return l.core.Renewal() }
 
-// startLeading makes this controller the leader of a term.
-func (c *Core) startLeading(term uint64) {
+// becomeLeader makes this controller the leader of a term.
+func (c *Core) becomeLeader(term uint64) {
 	c.log.Info("leading", "term", term)
 	c.stopLeading()
-	c.lead = leader.New(&c.loop, c.view, &c.book, local{c.own, c}, c.log, c.hold.Incarnation(), term, c.baseSeen)
-	c.lead.PublishStored(c.writeSent)
+	c.leader = leader.New(&c.loop, c.view, &c.leasePages, leaderHost{c.owner, c}, c.log, c.blockLease.Incarnation(), term, c.previousLeaseAppliedAt)
+	c.leader.PublishStored(c.leaseWriteSentAt)
 	c.view.IsLeader = true
 }
 
 // stopLeading drops the leader, if there is one.
 func (c *Core) stopLeading() {
-	if c.lead != nil {
-		c.lead.Stop()
-		c.lead, c.view.IsLeader = nil, false
+	if c.leader != nil {
+		c.leader.Stop()
+		c.leader, c.view.IsLeader = nil, false
 	}
 }
 
-// onRenewal takes in a controller's renewal.
-func (c *Core) onRenewal(r *peerpb.Renewal) {
+// handleRenewal takes in a controller's renewal.
+func (c *Core) handleRenewal(r *peerpb.Renewal) {
 	lease := &c.view.Lease
-	if c.lead == nil && r.GetResigned() && r.GetNode() == lease.Leader && r.GetIncarnation() > lease.Incarnation {
+	if c.leader == nil && r.GetResigned() && r.GetNode() == lease.Leader && r.GetIncarnation() > lease.Incarnation {
 		// Nobody leads: no need to wait that long. It says so again and again,
 		// which must not put off those whose turn comes later.
-		if at := c.loop.Now.Add(-leaderDead); at.Before(c.leaseSeen) {
-			c.leaseSeen = at
+		if at := c.loop.Now.Add(-leaderTimeout); at.Before(c.leaderSeenAt) {
+			c.leaderSeenAt = at
 		}
 	}
-	if c.lead == nil || r.GetNode() == c.view.Self {
+	if c.leader == nil || r.GetNode() == c.view.Self {
 		return
 	}
 	if c.view.Peers[r.GetNode()] == nil {
 		c.log.Warn("renewal from an unknown controller", "node", r.GetNode())
 		return
 	}
-	if !c.lead.HandleRenewal(r) {
+	if !c.leader.HandleRenewal(r) {
 		return // late
 	}
 	c.view.Peers[r.GetNode()].UpdateTeamUse(r.GetTeams())
-	c.tellKnown(r)
+	c.sendEndpoints(r)
 	c.log.Debug("renewal", "node", r.GetNode(), "number", r.GetNumber(), "heard", len(r.GetReconciled()), "demand", len(r.GetDemand()))
-	c.leadTick()
+	c.runLeader()
 }
 
-// leadTick does what leading needs: the lease value, then the fleet.
-func (c *Core) leadTick() {
-	if c.lead == nil {
+// runLeader does what leading needs: the lease value, then the fleet.
+func (c *Core) runLeader() {
+	if c.leader == nil {
 		return
 	}
-	if c.hold.RenewalUrgent() {
-		c.hold.RenewalSent()
-		c.lead.RequestPublish()
+	if c.blockLease.RenewalUrgent() {
+		c.blockLease.RenewalSent()
+		c.leader.RequestPublish()
 	}
-	if !c.leaseBusy && c.lead.TakePublishDue() {
-		c.publish()
+	if !c.leaseWriteInFlight && c.leader.TakePublishDue() {
+		c.publishLease()
 	}
-	c.lead.RunAutoscaler()
+	c.leader.RunAutoscaler()
 }
 
-// publish writes what the leader proposes.
-func (c *Core) publish() {
+// publishLease writes what the leader proposes.
+func (c *Core) publishLease() {
 	own := c.Renewal()
-	c.own.ReserveQuota(own)
-	rec, stored := c.lead.Publish(own)
+	c.owner.ReserveQuota(own)
+	rec, stored := c.leader.Publish(own)
 	c.writeLease(rec, stored)
 }
 
-// tellKnown tells a controller how to reach machines of its block.
-func (c *Core) tellKnown(r *peerpb.Renewal) {
+// sendEndpoints tells a controller how to reach machines of its block.
+func (c *Core) sendEndpoints(r *peerpb.Renewal) {
 	var known []*peerpb.MachineInfo
 	names, err := wire.UnpackNames(r.GetUnknownEndpoints())
 	if err != nil {
 		c.log.Error("names in a renewal", "err", err)
 	}
 	for _, name := range names {
-		if s := c.lead.MachineInfo(name); s.GetEndpoint() != "" && c.view.HolderOf(name) == r.GetNode() {
+		if s := c.leader.MachineInfo(name); s.GetEndpoint() != "" && c.view.HolderOf(name) == r.GetNode() {
 			known = append(known, s)
 		}
 	}
 	if len(known) > 0 {
-		f := c.frame()
+		f := c.newFrame()
 		f.SpareCpus, f.KnownMachines = c.spare, known
 		c.loop.Emit(eventloop.PeerSend{To: r.GetNode(), Frame: f})
 	}
 }
 
-// tradeEvery spaces the looks at whether others are short of a share.
-const tradeEvery = 300 * time.Millisecond
+// quotaCheckInterval spaces the looks at whether others are short of a share.
+const quotaCheckInterval = 300 * time.Millisecond
 
-// trade has a renewal sent when there is something to promise.
-func (c *Core) trade() {
-	if c.loop.Now.Sub(c.tradedAt) < tradeEvery {
+// requestQuotaChanges has a renewal sent when there is something to promise.
+func (c *Core) requestQuotaChanges() {
+	if c.loop.Now.Sub(c.quotaCheckedAt) < quotaCheckInterval {
 		return
 	}
-	c.tradedAt = c.loop.Now
-	c.own.RequestQuotaRenewal()
-	if c.lead != nil && len(c.view.Lease.Shares) > 0 {
-		c.lead.RequestQuotaPublish()
+	c.quotaCheckedAt = c.loop.Now
+	c.owner.RequestQuotaRenewal()
+	if c.leader != nil && len(c.view.Lease.Shares) > 0 {
+		c.leader.RequestQuotaPublish()
 	}
 }
--- a/internal/core/controller/lease.go
+++ b/internal/core/controller/lease.go
@@ -17,34 +17,34 @@
 )
 
 const (
-	// leaderDead is how long the lease value may stay unchanged before
+	// leaderTimeout is how long the lease value may stay unchanged before
 	// another controller takes the lead: two missed publications.
-	leaderDead = 10 * time.Second
-	// renewGap spaces renewals that something urgent brought about; those
+	leaderTimeout = 10 * time.Second
+	// urgentRenewalInterval spaces renewals that something urgent brought about; those
 	// through the state service cost a write, so they come less often.
-	renewGap      = 200 * time.Millisecond
-	renewGapStore = time.Second
+	urgentRenewalInterval = 200 * time.Millisecond
+	storedRenewalInterval = time.Second
 )
 
 // ---- what every controller does with the lease value
 
-// applyValue reads the lease value. One whose pages are not all known waits for
+// applyLeaseValue reads the lease value. One whose pages are not all known waits for
 // them: it grants nothing until it has been read whole.
-func (c *Core) applyValue(p wire.Pair) {
+func (c *Core) applyLeaseValue(p wire.Pair) {
 	since := c.loop.Now
-	if c.unread != nil {
-		since = c.unreadSince
-		if c.unread.Version <= c.view.LeaseVersion || c.unread.Version <= p.Version {
-			c.unread = nil
+	if c.incompleteLease != nil {
+		since = c.incompleteSince
+		if c.incompleteLease.Version <= c.view.LeaseVersion || c.incompleteLease.Version <= p.Version {
+			c.incompleteLease = nil
 		}
 	}
 	if p.Version <= c.view.LeaseVersion {
 		return
 	}
-	rec, err := c.book.Read(p.Value)
+	rec, err := c.leasePages.Read(p.Value)
 	if errors.Is(err, leasevalue.ErrPageMissing) {
-		if c.unread == nil {
-			c.unread, c.unreadSince = &p, since
+		if c.incompleteLease == nil {
+			c.incompleteLease, c.incompleteSince = &p, since
 		}
 		return
 	}
@@ -52,20 +52,20 @@
 		err = c.view.Params.Levels.Follow(feature.Level(rec.Level))
 	}
 	if err != nil {
-		c.cannotRead(p.Version, err)
+		c.rejectLeaseValue(p.Version, err)
 		return
 	}
 	c.applyLease(rec, p.Version)
 }
 
-// unreadFor is how long a lease value may wait for its pages to come with the
+// incompleteLeaseTimeout is how long a lease value may wait for its pages to come with the
 // watch before they are read.
-const unreadFor = 300 * time.Millisecond
+const incompleteLeaseTimeout = 300 * time.Millisecond
 
-// readLease reads value and pages when a page has been missing for a while.
-func (c *Core) readLease() {
-	if c.unread != nil && !c.leaseReading && c.loop.Now.Sub(c.unreadSince) >= unreadFor {
-		c.unreadSince = c.loop.Now
+// readIncompleteLease reads value and pages when a page has been missing for a while.
+func (c *Core) readIncompleteLease() {
+	if c.incompleteLease != nil && !c.leaseReadInFlight && c.loop.Now.Sub(c.incompleteSince) >= incompleteLeaseTimeout {
+		c.incompleteSince = c.loop.Now
 		c.fetchLease(func(eventloop.Outcome) {})
 	}
 }
@@ -74,9 +74,9 @@
 // in between, so it tries a few times; then gets the outcome of what it read
 // last, or NoAnswer when value and pages never matched.
 func (c *Core) fetchLease(then func(outcome eventloop.Outcome)) {
-	c.leaseReading = true
+	c.leaseReadInFlight = true
 	done := func(outcome eventloop.Outcome) {
-		c.leaseReading = false
+		c.leaseReadInFlight = false
 		then(outcome)
 	}
 	var try func(left int)
@@ -96,7 +96,7 @@
 				c.applyPut(leaseKey, d.Pair.Value, d.Pair.Version)
 			}
 			switch {
-			case d.Outcome != eventloop.Succeeded || c.unread == nil:
+			case d.Outcome != eventloop.Succeeded || c.incompleteLease == nil:
 				done(d.Outcome)
 			case left == 0:
 				done(eventloop.NoAnswer)
@@ -116,7 +116,7 @@
 				after = p.Key
 			}
 			switch {
-			case c.unread == nil:
+			case c.incompleteLease == nil:
 				done(eventloop.Succeeded)
 			case d.Page.More && len(d.Page.Pairs) > 0:
 				pages(left, after)
@@ -136,81 +136,81 @@
 	}
 	before := c.view.Lease.Blocks
 	c.view.ApplyLease(rec, version)
-	if c.lead != nil {
-		c.lead.LeaseApplied(before)
-	}
-	c.leaseSeen = c.loop.Now
-	c.baseSeen, c.valueSeen = c.valueSeen, c.loop.Now
-	if rec.Leader == c.view.Self && rec.Incarnation == c.hold.Incarnation() {
-		if c.lead == nil || c.lead.Term() != rec.Term {
-			c.startLeading(rec.Term)
+	if c.leader != nil {
+		c.leader.LeaseApplied(before)
+	}
+	c.leaderSeenAt = c.loop.Now
+	c.previousLeaseAppliedAt, c.leaseAppliedAt = c.leaseAppliedAt, c.loop.Now
+	if rec.Leader == c.view.Self && rec.Incarnation == c.blockLease.Incarnation() {
+		if c.leader == nil || c.leader.Term() != rec.Term {
+			c.becomeLeader(rec.Term)
 		}
-	} else if c.lead != nil {
+	} else if c.leader != nil {
 		c.log.Info("no longer leader", "leader", rec.Leader, "term", rec.Term)
 		c.stopLeading()
 	}
 	b, ok := rec.Blocks[c.view.Self]
-	if !ok || b.Incarnation != c.hold.Incarnation() {
-		if c.hold.Held() {
-			c.log.Info("block lost", "machines", c.own.MachineCount())
+	if !ok || b.Incarnation != c.blockLease.Incarnation() {
+		if c.blockLease.Held() {
+			c.log.Info("block lost", "machines", c.owner.MachineCount())
 			c.loseBlock()
 		}
-		if ok && !c.leaving {
+		if ok && !c.shuttingDown {
 			// A process that is back within a moment may have begun by a clock
 			// that stood lower than its predecessor's. Nobody would hear it then.
-			c.hold.RaiseIncarnation(b.Incarnation)
+			c.blockLease.RaiseIncarnation(b.Incarnation)
 		}
-		c.hold.RequestRenewal()
+		c.blockLease.RequestRenewal()
 		return
 	}
-	changed := c.hold.Renewed(b)
-	c.own.ApplyBlock(b)
-	if changed && c.own.ReleasesMachines() {
-		c.hold.RequestRenewal() // only what is given back under this grant counts
+	changed := c.blockLease.Renewed(b)
+	c.owner.ApplyBlock(b)
+	if changed && c.owner.ReleasesMachines() {
+		c.blockLease.RequestRenewal() // only what is given back under this grant counts
 	}
 }
 
 // loseBlock forgets all that the right to a block was the ground of.
 func (c *Core) loseBlock() {
-	c.hold.Release()
-	c.own.ReleaseBlock()
+	c.blockLease.Release()
+	c.owner.ReleaseBlock()
 }
 
 // Renewal describes this controller to the leader, numbered as the next one.
 func (c *Core) Renewal() *peerpb.Renewal {
-	r := &peerpb.Renewal{Node: c.view.Self, Incarnation: c.hold.Incarnation(), Number: c.hold.NextRenewal()}
+	r := &peerpb.Renewal{Node: c.view.Self, Incarnation: c.blockLease.Incarnation(), Number: c.blockLease.NextRenewal()}
 	if c.view.Params.Levels.KnowsLevels() {
 		r.Form = renewalForm
 	}
-	c.own.FillRenewal(r)
+	c.owner.FillRenewal(r)
 	return r
 }
 
-// refusedAfter is how long the state service must have been silent before a
+// isolatedAfter is how long the state service must have been silent before a
 // controller that others tell of its answers takes itself for the only one
 // without it. It is longer than their word may be old, so that an outage for
 // all is not mistaken for one.
-const refusedAfter = 7 * time.Second
+const isolatedAfter = 7 * time.Second
 
-// refusedProof is for how long another must have been answered again before
+// peerReachableFor is for how long another must have been answered again before
 // that says anything: when an outage ends, some are answered a moment earlier.
-const refusedProof = 2500 * time.Millisecond
+const peerReachableFor = 2500 * time.Millisecond
 
-// refusedAlone tells whether the state service answers others but not this
+// isolatedFromState tells whether the state service answers others but not this
 // controller.
-func (c *Core) refusedAlone() bool {
-	if c.loop.Now.Sub(c.stateOK) < refusedAfter {
+func (c *Core) isolatedFromState() bool {
+	if c.loop.Now.Sub(c.stateOK) < isolatedAfter {
 		return false
 	}
 	for _, p := range c.view.Peers {
-		if c.loop.Now.Sub(p.LastFrame) < cluster.PeerTimeout && p.StateReachable && c.loop.Now.Sub(p.StateReachableSince) > refusedProof {
+		if c.loop.Now.Sub(p.LastFrame) < cluster.PeerTimeout && p.StateReachable && c.loop.Now.Sub(p.StateReachableSince) > peerReachableFor {
 			return true
 		}
 	}
 	return false
 }
 
-// resign gives up block, homes and lead when the state service refuses this
+// stepDownIfIsolated gives up block, homes and lead when the state service refuses this
 // controller alone. It could start nothing soon anyway, and store nothing; by
 // saying so it spares its jobs the time until its lease has lapsed. From here
 // on it is a new process to everybody, its own included: machines it gets back
@@ -219,30 +219,30 @@
 // The same goes for one that loses its workers alone: they report to others,
 // which keep their tasks alive for a while but may start none. A successor goes
 // on with them where they are.
-func (c *Core) resign() {
-	if c.leaving || !c.loaded || (!c.hold.Held() && c.lead == nil) {
+func (c *Core) stepDownIfIsolated() {
+	if c.shuttingDown || !c.loaded || (!c.blockLease.Held() && c.leader == nil) {
 		return
 	}
 	switch {
-	case c.refusedAlone():
-		c.log.Info("resigned, the state service refuses this controller alone", "machines", c.own.MachineCount(), "led", c.lead != nil)
-	case c.workersElsewhere():
-		c.log.Info("resigned, the workers reach others but not this controller", "machines", c.own.MachineCount(), "led", c.lead != nil)
-		c.awayUntil = c.loop.Now.Add(awayFor)
+	case c.isolatedFromState():
+		c.log.Info("resigned, the state service refuses this controller alone", "machines", c.owner.MachineCount(), "led", c.leader != nil)
+	case c.workersReachOnlyOthers():
+		c.log.Info("resigned, the workers reach others but not this controller", "machines", c.owner.MachineCount(), "led", c.leader != nil)
+		c.noBlockUntil = c.loop.Now.Add(stepDownPause)
 	default:
 		return
 	}
-	c.giveUp()
+	c.stepDown()
 }
 
-// awayFor is for how long a controller that has lost its workers asks for no
+// stepDownPause is for how long a controller that has lost its workers asks for no
 // block. What it then gets it would lose again, should they still not reach it.
-const awayFor = 30 * time.Second
+const stepDownPause = 30 * time.Second
 
-// workersElsewhere tells whether no machine of the block reports here any more
+// workersReachOnlyOthers tells whether no machine of the block reports here any more
 // while at least half of them report to other controllers.
-func (c *Core) workersElsewhere() bool {
-	if !c.own.AllWorkersElsewhere() {
+func (c *Core) workersReachOnlyOthers() bool {
+	if !c.owner.AllWorkersElsewhere() {
 		return false
 	}
 	guests := 0
@@ -251,81 +251,81 @@
 			guests += p.ForeignWorkers
 		}
 	}
-	return 2*guests >= c.own.MachineCount()
+	return 2*guests >= c.owner.MachineCount()
 }
 
-// away tells whether this controller wants no block for now.
-func (c *Core) away() bool {
-	return c.leaving || c.refusedAlone() || c.loop.Now.Before(c.awayUntil)
+// declinesBlock tells whether this controller wants no block for now.
+func (c *Core) declinesBlock() bool {
+	return c.shuttingDown || c.isolatedFromState() || c.loop.Now.Before(c.noBlockUntil)
 }
 
-// giveUp ends every right that this process has; renew tells the others.
-func (c *Core) giveUp() {
-	c.hold.RaiseIncarnation(c.hold.Incarnation())
+// stepDown ends every right that this process has; renew tells the others.
+func (c *Core) stepDown() {
+	c.blockLease.RaiseIncarnation(c.blockLease.Incarnation())
 	c.stopLeading()
 	c.loseBlock()
-	c.hold.RequestRenewal()
+	c.blockLease.RequestRenewal()
 }
 
-// leave gives up block, homes and lead because this process is to end. Whoever
+// shutDown gives up block, homes and lead because this process is to end. Whoever
 // leads hands them on with the next value instead of waiting for the lease to
 // lapse; a late command of this process falls to the token.
-func (c *Core) leave() {
-	if c.leaving {
+func (c *Core) shutDown() {
+	if c.shuttingDown {
 		return
 	}
-	c.leaving = true
-	c.log.Info("leaving", "machines", c.own.MachineCount(), "leads", c.lead != nil)
-	c.giveUp()
-	c.renew()
+	c.shuttingDown = true
+	c.log.Info("leaving", "machines", c.owner.MachineCount(), "leads", c.leader != nil)
+	c.stepDown()
+	c.renewBlockLease()
 }
 
 // HandedOver tells whether nothing is left to hand over by a process that leaves: the
 // lease value names it no longer. It is true of one that never read any.
 func (c *Core) HandedOver() bool {
 	_, held := c.view.Lease.Blocks[c.view.Self]
-	return c.leaving && !held && c.view.Lease.Leader != c.view.Self
+	return c.shuttingDown && !held && c.view.Lease.Leader != c.view.Self
 }
 
-// renew asks for a renewal of the block lease: straight from the leader where
+// renewBlockLease asks for a renewal of the block lease: straight from the leader where
 // it can be reached, else through the state service, which no cut between
 // zones touches.
-func (c *Core) renew() {
-	if c.lead != nil || c.view.Lease.Leader == "" {
+func (c *Core) renewBlockLease() {
+	if c.leader != nil || c.view.Lease.Leader == "" {
 		return // the leader renews its own with every write
 	}
 	direct := c.view.IsReachable(c.view.Lease.Leader, c.loop.Now)
-	gap := renewGapStore
+	gap := storedRenewalInterval
 	if direct {
-		gap = renewGap
+		gap = urgentRenewalInterval
 	}
-	last := c.renewAt.Add(-c.view.Params.PublishInterval)
-	if c.loop.Now.Before(c.renewAt) && !(c.hold.RenewalUrgent() && c.loop.Now.Sub(last) >= gap) {
+	last := c.nextRenewalAt.Add(-c.view.Params.PublishInterval)
+	if c.loop.Now.Before(c.nextRenewalAt) && !(c.blockLease.RenewalUrgent() && c.loop.Now.Sub(last) >= gap) {
 		return
 	}
-	c.hold.RenewalSent()
-	c.renewAt = c.loop.Now.Add(c.view.Params.PublishInterval)
+	c.blockLease.RenewalSent()
+	c.nextRenewalAt = c.loop.Now.Add(c.view.Params.PublishInterval)
 	r := c.Renewal()
-	r.Resigned = !c.hold.Held() && c.away()
-	c.own.ReserveQuota(r)
-	c.hold.RecordRenewal(c.loop.Now)
+	r.Resigned = !c.blockLease.Held() && c.declinesBlock()
+	c.owner.ReserveQuota(r)
+	c.blockLease.RecordRenewal(c.loop.Now)
 	to := []string{c.view.Lease.Leader}
 	if r.Resigned {
 		// The lease value it knows is as old as the refusal; it may even name
 		// itself as the leader. Whoever leads by now has to hear of it.
 		direct, to = true, cluster.SortedKeys(c.view.Peers)
-		c.renewAt = c.loop.Now.Add(renewGapStore)
+		c.nextRenewalAt = c.loop.Now.Add(storedRenewalInterval)
 	}
 	if direct {
 		for _, name := range to {
-			f := c.frame()
+			f := c.newFrame()
 			f.Renewal = r
 			c.loop.Emit(eventloop.PeerSend{To: name, Frame: f})
 		}
 		return
 	}
 	// As base64 in a value of limited size.
-	trim(r, int(0.9*1024*c.view.Settings.Cluster.State.ValueKB*3/4)-64)
+	trimRenewal(r, int(0.9*1024*c.view.Settings.Cluster.State.ValueKB*3/4)-64)
 	b, err := proto.MarshalOptions{Deterministic: true}.Marshal(r)
 	if err != nil {
 		c.log.Error("renewal", "err", err)
@@ -336,9 +336,9 @@
 			"pb": base64.StdEncoding.EncodeToString(b)}}}}})
 }
 
-// trim shortens a renewal to a size. What is left out comes with a later one,
+// trimRenewal shortens a renewal to a size. What is left out comes with a later one,
 // once the leader has acted on the first part.
-func trim(r *peerpb.Renewal, most int) {
+func trimRenewal(r *peerpb.Renewal, most int) {
 	r.UnknownEndpoints = "" // would be answered on the link that is down
 	for proto.Size(r) > most {
 		use, seen, demand := 12*len(r.MachineUse), 50*len(r.KnownMachines), 36*len(r.Demand)
@@ -357,7 +357,7 @@
 
 // applyStoredRenewal reads a renewal that came through the state service.
 func (c *Core) applyStoredRenewal(value []byte) {
-	if c.lead == nil {
+	if c.leader == nil {
 		return
 	}
 	var v map[string]string
@@ -378,59 +378,59 @@
 		c.log.Warn("renewal in a form that is unknown to this version", "node", r.GetNode(), "form", r.GetForm())
 		return
 	}
-	c.onRenewal(r)
+	c.handleRenewal(r)
 }
 
-// elect takes the lead when there is no leader, when this controller led
+// campaign takes the lead when there is no leader, when this controller led
 // before its restart, or when the lease value has not changed for long.
-func (c *Core) elect() {
-	if c.lead != nil || c.leaseBusy || c.leaving || c.loop.Now.Before(c.awayUntil) {
+func (c *Core) campaign() {
+	if c.leader != nil || c.leaseWriteInFlight || c.shuttingDown || c.loop.Now.Before(c.noBlockUntil) {
 		return
 	}
 	mine := c.view.Lease.Leader == c.view.Self
 	// The controllers wait a little longer one after the other, so that they
 	// do not all try in the same moment.
-	patience := leaderDead
+	patience := leaderTimeout
 	for name := range c.view.Peers {
 		if name < c.view.Self {
 			patience += time.Second
 		}
 	}
-	if c.unreadable > c.view.LeaseVersion {
+	if c.unreadableVersion > c.view.LeaseVersion {
 		return // somebody leads, in a form that cannot be read here
 	}
-	if c.view.LeaseVersion != 0 && !mine && c.loop.Now.Sub(c.leaseSeen) < patience {
+	if c.view.LeaseVersion != 0 && !mine && c.loop.Now.Sub(c.leaderSeenAt) < patience {
 		return
 	}
 	rec := c.view.Lease.Clone()
 	rec.Term++
-	rec.Leader, rec.Incarnation = c.view.Self, c.hold.Incarnation()
+	rec.Leader, rec.Incarnation = c.view.Self, c.blockLease.Incarnation()
 	rec.Sequence++
-	leader.GrantAnew(&rec, c.view.Self, c.hold.Incarnation())
+	leader.GrantAnew(&rec, c.view.Self, c.blockLease.Incarnation())
 	c.writeLease(rec, func() {})
 }
 
 // writeLease proposes a new lease value under the version it was based on; then
 // is called once it is stored.
 func (c *Core) writeLease(rec wire.LeaseRecord, then func()) {
-	c.leaseBusy = true
+	c.leaseWriteInFlight = true
 	sent := c.loop.Now
-	c.writeSent = sent
-	if b, ok := rec.Blocks[c.view.Self]; ok && b.Incarnation == c.hold.Incarnation() {
-		b.Renewal = c.hold.RecordRenewal(c.loop.Now)
+	c.leaseWriteSentAt = sent
+	if b, ok := rec.Blocks[c.view.Self]; ok && b.Incarnation == c.blockLease.Incarnation() {
+		b.Renewal = c.blockLease.RecordRenewal(c.loop.Now)
 		rec.Blocks[c.view.Self] = b
 	}
 	ops := []wire.Op{{Put: leaseKey, Value: rec}}
 	var draft *leasevalue.PendingWrite
 	if rec.Form >= 2 {
 		var err error
-		if draft, err = c.book.Write(&rec, c.view.Settings.ValueLimits()); err != nil {
+		if draft, err = c.leasePages.Write(&rec, c.view.Settings.ValueLimits()); err != nil {
 			// Publishing keeps within what a write can take, but for several
 			// takeovers at once.
 			c.log.Error("lease value", "err", err)
-			c.leaseBusy = false
-			if c.lead != nil {
-				c.lead.ValueTooLarge()
+			c.leaseWriteInFlight = false
+			if c.leader != nil {
+				c.leader.ValueTooLarge()
 			}
 			return
 		}
@@ -443,25 +443,25 @@
 		// find the version it was based on.
 		Txn: wire.Txn{If: append(c.LeaseUnchanged(), c.raiseConds(&rec)...), Then: ops},
 		ID: c.loop.Call(func(d eventloop.Completion) {
-			c.leaseBusy = false
+			c.leaseWriteInFlight = false
 			if d.Outcome == eventloop.Succeeded {
 				if draft != nil {
 					draft.Commit()
 				}
 				then()
 				c.applyLease(rec, d.Txn.Revision)
-				if c.lead != nil {
-					c.lead.PublishStored(sent)
-					c.leadTick()
+				if c.leader != nil {
+					c.leader.PublishStored(sent)
+					c.runLeader()
 				}
 				return
 			}
 			// Refused, or perhaps done: read before deciding anything.
-			c.leaseBusy = true
+			c.leaseWriteInFlight = true
 			c.fetchLease(func(eventloop.Outcome) {
-				c.leaseBusy = false
-				if c.lead != nil {
-					c.lead.RequestPublish()
+				c.leaseWriteInFlight = false
+				if c.leader != nil {
+					c.leader.RequestPublish()
 				}
 			})
 		}),
--- a/internal/core/controller/level.go
+++ b/internal/core/controller/level.go
@@ -42,35 +42,35 @@
 }
 
 // serves tells whether users and workers can be served at all.
-func (c *Core) serves() bool { return c.loaded && c.refused == nil && c.recovery == nil }
+func (c *Core) serves() bool { return c.loaded && c.incompatible == nil && c.recovery == nil }
 
 // Incompatible tells why this version cannot serve this cluster, or nil.
-func (c *Core) Incompatible() error { return c.refused }
+func (c *Core) Incompatible() error { return c.incompatible }
 
-// cannotRead is told of a lease value that cannot be read. One in a form or at a
+// rejectLeaseValue is told of a lease value that cannot be read. One in a form or at a
 // level that this version does not know says that the cluster has moved on: from
 // here on this process serves nobody and holds no right. Any other may be
 // damaged; it grants nothing, and what was read before it goes on until it lapses.
-func (c *Core) cannotRead(version uint64, err error) {
-	if version == c.unreadable {
+func (c *Core) rejectLeaseValue(version uint64, err error) {
+	if version == c.unreadableVersion {
 		return
 	}
-	c.unreadable = version
-	if !c.view.Params.Levels.KnowsLevels() || !tooOld(err) {
+	c.unreadableVersion = version
+	if !c.view.Params.Levels.KnowsLevels() || !isIncompatible(err) {
 		c.log.Error("lease value", "err", err)
 		return
 	}
-	if c.refused != nil {
+	if c.incompatible != nil {
 		return
 	}
-	c.refused = err
+	c.incompatible = err
 	c.log.Error("refuses to serve", "version", c.view.Params.Version, "err", err)
 	c.stopLeading()
 	c.loseBlock()
 }
 
-// tooOld tells an unknown form or level from damage.
-func tooOld(err error) bool {
+// isIncompatible tells an unknown form or level from damage.
+func isIncompatible(err error) bool {
 	var form wire.FormError
 	var lvl feature.LevelError
 	return errors.As(err, &form) || errors.As(err, &lvl)
@@ -101,8 +101,8 @@
 	} else if name, ok := strings.CutPrefix(key, ControllerPrefix); ok {
 		c.view.Controllers[name] = keep(c, c.view.Controllers[name], key, value, version, func(r wire.ControllerRecord) int { return r.Form })
 	}
-	if c.lead != nil {
-		c.lead.RequestPublish()
+	if c.leader != nil {
+		c.leader.RequestPublish()
 	}
 }
 
@@ -177,11 +177,11 @@
 	}
 	c.level.next = c.loop.Now.Add(tellGap)
 	stored := c.view.Controllers[c.view.Self]
-	rec := wire.ControllerRecord{Form: wire.ControllerForm, Incarnation: c.hold.Incarnation(), Version: c.view.Params.Version,
+	rec := wire.ControllerRecord{Form: wire.ControllerForm, Incarnation: c.blockLease.Incarnation(), Version: c.view.Params.Version,
 		OldestLevel: uint32(c.view.Params.Levels.Oldest), NewestLevel: uint32(c.view.Params.Levels.Newest), SeenLevel: c.view.Lease.Level,
-		Ready: c.Healthy(), UnreconciledMachines: c.own.UnreconciledMachines(), OutdatedRecords: c.own.OutdatedRecords()}
-	if c.lead != nil {
-		rec.LevelBlockers = c.lead.LevelBlockers()
+		Ready: c.Healthy(), UnreconciledMachines: c.owner.UnreconciledMachines(), OutdatedRecords: c.owner.OutdatedRecords()}
+	if c.leader != nil {
+		rec.LevelBlockers = c.leader.LevelBlockers()
 	}
 	if !c.worthTelling(&rec, &stored.Value) {
 		return
--- a/internal/core/controller/meeting_test.go
+++ b/internal/core/controller/meeting_test.go
@@ -104,7 +104,7 @@
 		t.Fatal("nothing was written")
 	}
 	k.do(eventloop.Completion{ID: k.ids[0], FromStateService: true}) // no answer
-	if k.c.lead == nil {
+	if k.c.leader == nil {
 		t.Fatal("does not lead")
 	}
 	// Carried out late, and shown by the watch.
@@ -276,12 +276,12 @@
 				}
 				ev = d
 			}
-			jobs, version := len(c0.own.Jobs()), c0.view.LeaseVersion
+			jobs, version := len(c0.owner.Jobs()), c0.view.LeaseVersion
 			if got := handle(ev); got != want {
 				t.Errorf("%s, away: %v: answered %q, want %q", name, away, got, want)
 			}
 			handle(eventloop.Tick{})
-			if len(c0.own.Jobs()) != jobs || c0.view.LeaseVersion != version || len(c0.ended) > 0 || c0.recovery != nil {
+			if len(c0.owner.Jobs()) != jobs || c0.view.LeaseVersion != version || len(c0.ended) > 0 || c0.recovery != nil {
 				t.Errorf("%s, away: %v: changed what is known", name, away)
 			}
 		}
@@ -314,7 +314,7 @@
 		core := New(&s, c0.view.Params, c0.log, 7)
 		core.loop.Begin(start)
 		core.loaded, core.rev, core.stateOK, core.watching = true, 7, start, true
-		core.own.ChangesKnown(core.view.LeaseVersion, start)
+		core.owner.ChangesKnown(core.view.LeaseVersion, start)
 		ask, now := uint64(0), start
 		for ask < 2*asksKept {
 			now = now.Add(time.Second)
--- a/internal/core/controller/recover.go
+++ b/internal/core/controller/recover.go
@@ -79,7 +79,7 @@
 // leases is what this controller knows of leases and machines.
 func (c *Core) leases() recovery.View {
 	v := recovery.ViewOf(c.view.Lease)
-	v.Machines, v.Token = c.own.ForeignWorkers(), c.own.Token()
+	v.Machines, v.Token = c.owner.ForeignWorkers(), c.owner.Token()
 	slices.Sort(v.Machines)
 	return v
 }
@@ -108,7 +108,7 @@
 func (c *Core) wake() {
 	if c.waking.asked.IsZero() {
 		c.waking.asked = c.loop.Now
-		f := c.frame()
+		f := c.newFrame()
 		f.Hello = true
 		for _, name := range cluster.SortedKeys(c.view.Peers) {
 			c.loop.Emit(eventloop.PeerSend{To: name, Frame: f})
@@ -177,24 +177,24 @@
 		return
 	}
 	c.log.Error("the state has lost data", "why", why, "seen", seen, "found", found, "generation", c.generation(),
-		"jobs", len(c.own.Jobs()), "ends", len(c.ended))
+		"jobs", len(c.owner.Jobs()), "ends", len(c.ended))
 	c.recovery = &recoveryRun{gen: c.generation(), lost: seen, foundRev: found, since: c.loop.Now}
 	c.high, c.loop.Generation = 0, 0
-	c.giveUp()
+	c.stepDown()
 	for rank, queue := range c.verify.queue {
 		c.verify.queue[rank] = nil
 		for _, q := range queue {
 			q.then(nil, nil, false)
 		}
 	}
-	c.pingAt = time.Time{}
-	c.ping()
+	c.nextHeartbeatAt = time.Time{}
+	c.heartbeatPeers()
 }
 
 // mayRebuild tells whether this controller knows the state and all others that it
 // has heard can follow; one of an earlier version would go on by what is gone.
 func (c *Core) mayRebuild() bool {
-	if !c.view.Params.Levels.KnowsLevels() || c.refused != nil || c.leaving || (!c.loaded && len(c.kept.Jobs)+len(c.kept.Ends) == 0) {
+	if !c.view.Params.Levels.KnowsLevels() || c.incompatible != nil || c.shuttingDown || (!c.loaded && len(c.kept.Jobs)+len(c.kept.Ends) == 0) {
 		return false
 	}
 	for name, p := range c.view.Peers {
@@ -277,7 +277,7 @@
 
 // memory is what this controller knows, and still knows of before a rebuild.
 func (c *Core) memory() recovery.KnownState {
-	m := recovery.KnownState{Jobs: c.own.Records(), Ends: maps.Clone(c.ended), CompletedTasks: c.own.CompletedTasks()}
+	m := recovery.KnownState{Jobs: c.owner.Records(), Ends: maps.Clone(c.ended), CompletedTasks: c.owner.CompletedTasks()}
 	join(m.Jobs, c.kept.Jobs)
 	join(m.Ends, c.kept.Ends)
 	join(m.CompletedTasks, c.kept.CompletedTasks)
@@ -296,8 +296,8 @@
 // recover takes the next step of a rebuild. It is called with every tick.
 func (c *Core) recover() {
 	r := c.recovery
-	c.ping()
-	c.own.CheckMachines()
+	c.heartbeatPeers()
+	c.owner.CheckMachines()
 	if r.busy || c.loop.Now.Before(r.next) || (r.marked && c.loop.Now.Sub(r.since) < joinTime) {
 		return
 	}
@@ -327,15 +327,15 @@
 			done()
 		case rebuilt && (r.restored || !c.mayAdd()):
 			if !r.restored { // said, and not made up: see mayAdd
-				c.log.Error("the state was rebuilt without this controller, and takes nothing from it any more", "generation", g.Generation, "known", len(c.own.Jobs()))
+				c.log.Error("the state was rebuilt without this controller, and takes nothing from it any more", "generation", g.Generation, "known", len(c.owner.Jobs()))
 			}
 			c.beginAnew()
 		case !r.restored && (rebuilt || c.myTurn()):
 			c.readState(func(s *state) {
 				if done(); s != nil {
 					c.restore(s, func() {
-						r.restored, c.pingAt = true, time.Time{} // the next one waits for it
-						c.ping()
+						r.restored, c.nextHeartbeatAt = true, time.Time{} // the next one waits for it
+						c.heartbeatPeers()
 					})
 				}
 			})
@@ -413,7 +413,7 @@
 			s.found.Ends[id] = recovery.StoredEnd{State: e.State, Version: p.Version}
 		} else if strings.HasPrefix(p.Key, owner.PagePrefix) {
 			s.pages[p.Key] = true
-			facts, err := c.own.ParsePage(p.Key, p.Value)
+			facts, err := c.owner.ParsePage(p.Key, p.Value)
 			if err != nil {
 				c.log.Error("page of completed tasks", "key", p.Key, "err", err)
 			}
@@ -478,13 +478,13 @@
 		return
 	}
 	n := 0
-	for _, entries := range recovery.CompletedTaskPages(&m, &s.found, c.own.PageBytes()) {
+	for _, entries := range recovery.CompletedTaskPages(&m, &s.found, c.owner.PageBytes()) {
 		for s.pages[c.factPage(n)] {
 			n++
 		}
 		key := c.factPage(n)
 		s.pages[key] = true
-		txns = append(txns, wire.Txn{If: []wire.Condition{{Key: key}}, Then: []wire.Op{{Put: key, Value: c.own.PageValue(entries)}}})
+		txns = append(txns, wire.Txn{If: []wire.Condition{{Key: key}}, Then: []wire.Op{{Put: key, Value: c.owner.PageValue(entries)}}})
 	}
 	if len(txns) == 0 {
 		then()
@@ -524,7 +524,7 @@
 	if s.gen.Generation > r.gen {
 		return // somebody else has; the next look sees it
 	}
-	c.hold.RaiseIncarnation(max(s.lease.Incarnation, s.lease.Blocks[c.view.Self].Incarnation, c.view.Lease.Blocks[c.view.Self].Incarnation))
+	c.blockLease.RaiseIncarnation(max(s.lease.Incarnation, s.lease.Blocks[c.view.Self].Incarnation, c.view.Lease.Blocks[c.view.Self].Incarnation))
 	// A machine that only the newest value names may run tasks already, and whoever
 	// has read that value need not be the one who rebuilds.
 	own, found := c.leases(), recovery.ViewOf(s.lease)
@@ -534,7 +534,7 @@
 			views = append(views, p.RecoveryView)
 		}
 	})
-	rec := recovery.MergeLease(c.view.Self, c.hold.Incarnation(), r.gen+1, func(team string) wire.Share {
+	rec := recovery.MergeLease(c.view.Self, c.blockLease.Incarnation(), r.gen+1, func(team string) wire.Share {
 		l := c.view.LimitOf(team)
 		return wire.Share{CPUs: int(l.CPUs), GPUs: int(l.GPUs)}
 	}, views...)
@@ -569,11 +569,11 @@
 func (c *Core) beginAnew() {
 	kept, old := c.memory(), *c
 	c.loop.DropCalls()
-	*c = Core{loop: c.loop, kept: kept, leaving: old.leaving, steppedAt: old.steppedAt, stateOK: old.stateOK}
+	*c = Core{loop: c.loop, kept: kept, shuttingDown: old.shuttingDown, steppedAt: old.steppedAt, stateOK: old.stateOK}
 	c.loop.Generation = 0
 	view := cluster.New(old.view.Settings, old.view.Params)
 	view.MachineTypes = old.view.MachineTypes
-	c.begin(view, old.log, old.hold.Incarnation()+1)
-	c.own.Served = old.own.Served
+	c.begin(view, old.log, old.blockLease.Incarnation()+1)
+	c.owner.Served = old.owner.Served
 	c.load()
 }
