--- a/internal/core/controller/controller.go
+++ b/internal/core/controller/controller.go
@@ -64,14 +64,14 @@
 	shuttingDown           bool      // this process is about to end
 	incompatible           error     // why this version cannot serve this cluster
 	noBlockUntil           time.Time // no block is asked for before then, see resign
-	level                  level
+	levels                 levelPublisher
 
 	// The state's generation, and what happens when it has lost data.
-	gen      cluster.Stored[recovery.Generation]
-	high     uint64 // highest revision that an answer has shown
-	recovery *recoveryRun
-	kept     recovery.KnownState // of before a rebuild, until everything is read again
-	waking   waking
+	storedGeneration cluster.Stored[recovery.Generation]
+	highestRevision  uint64 // highest revision that an answer has shown
+	recovery         *recoveryRun
+	previousState    recovery.KnownState // of before a rebuild, until everything is read again
+	startup          startupCheck
 
 	// What was last told to the peers.
 	nextHeartbeatAt time.Time
@@ -90,12 +90,12 @@
 // be larger than that of every earlier process of the same name.
 func New(cfg *config.Settings, par cluster.Params, log *slog.Logger, incarnation uint64) *Core {
 	c := new(Core)
-	c.begin(cluster.New(cfg, par), log, incarnation)
+	c.reset(cluster.New(cfg, par), log, incarnation)
 	return c
 }
 
-// begin makes the core that of a process that knows nothing yet.
-func (c *Core) begin(view *cluster.View, log *slog.Logger, incarnation uint64) {
+// reset makes the core that of a process that knows nothing yet.
+func (c *Core) reset(view *cluster.View, log *slog.Logger, incarnation uint64) {
 	c.view, c.log, c.blockLease, c.ended = view, log, blocklease.New(incarnation, view.Params.LeaseDuration), map[string]wire.EndRecord{}
 	c.leasePages.PreLevels = !view.Params.Levels.KnowsLevels()
 	c.owner = owner.New(&c.loop, c.view, c.blockLease, c, log)
@@ -132,7 +132,7 @@
 			}
 			c.stateOK = now
 		}
-		c.witness(&e)
+		c.checkRevision(&e)
 		c.loop.Complete(e)
 		if c.leader != nil && c.leader.PublishNow() {
 			c.runLeader()
@@ -185,12 +185,12 @@
 // tick does what time alone brings about.
 func (c *Core) tick() {
 	if c.recovery != nil {
-		c.recover()
+		c.stepRecovery()
 		return
 	}
 	c.loadTypes()
 	if !c.loaded {
-		c.wake()
+		c.startUp()
 		return
 	}
 	c.watch()
@@ -203,7 +203,7 @@
 	c.campaign()
 	c.renewBlockLease()
 	c.heartbeatPeers()
-	c.tellLevel()
+	c.publishLevel()
 	c.owner.StorePending()
 	c.runVerify()
 	c.owner.CheckMachines()
@@ -269,7 +269,7 @@
 func (c *Core) newFrame() *peerpb.Frame {
 	f := &peerpb.Frame{From: c.view.Self, Incarnation: c.blockLease.Incarnation(), StateOk: c.reachable(),
 		LeaseForm: leasevalue.FormPages}
-	c.tellGeneration(f)
+	c.addGeneration(f)
 	if c.view.Params.Levels.KnowsLevels() {
 		f.Form, f.NewestLevel, f.SeenLevel = frameForm, uint32(c.view.Params.Levels.Newest), c.view.Lease.Level
 		f.AcceptsRaisedTokens, f.AcceptsJobMoves = true, true
@@ -326,5 +326,5 @@
 	if r := f.GetRenewal(); r != nil && r.GetNode() == f.GetFrom() {
 		c.handleRenewal(r)
 	}
-	c.heardOfLoss(p, f.GetRecoveryView())
+	c.handlePeerGeneration(p, f.GetRecoveryView())
 }
--- a/internal/core/controller/jobs.go
+++ b/internal/core/controller/jobs.go
@@ -19,11 +19,11 @@
 // Keys of the state service. All that every controller watches is below
 // root.
 const (
-	root      = "fc/"
-	jobPrefix = root + "j/"
-	endPrefix = root + "t/"
-	renPrefix = root + "r/"
-	leaseKey  = leasevalue.Key
+	root          = "fc/"
+	jobPrefix     = root + "j/"
+	endPrefix     = root + "t/"
+	renewalPrefix = root + "r/"
+	leaseKey      = leasevalue.Key
 	// endedMost bounds the memory for jobs that are over.
 	endedMost = 20000
 )
@@ -37,7 +37,7 @@
 	}
 	c.loading = true
 	c.readGeneration(func(outcome eventloop.Outcome) {
-		if (outcome != eventloop.Succeeded && outcome != eventloop.NotFound) || c.doubtful() {
+		if (outcome != eventloop.Succeeded && outcome != eventloop.NotFound) || c.stateUnsettled() {
 			c.loadFailed("generation", outcome)
 			return
 		}
@@ -83,11 +83,11 @@
 				c.loadFailed("leases", outcome)
 				return
 			}
-			if c.doubtful() {
+			if c.stateUnsettled() {
 				c.loadFailed("generation", outcome)
 				return
 			}
-			c.loading, c.loaded, c.kept = false, true, recovery.KnownState{}
+			c.loading, c.loaded, c.previousState = false, true, recovery.KnownState{}
 			c.rev = rev
 			c.owner.ChangesKnown(rev, asked)
 			c.cancelled = max(c.cancelled, rev, 1) // an earlier process may have told of any
@@ -173,9 +173,9 @@
 			return
 		}
 		c.applyEnd(key[len(endPrefix):], rec, version)
-	case key == genKey:
+	case key == generationKey:
 		c.applyGeneration(value, version)
-	case strings.HasPrefix(key, renPrefix):
+	case strings.HasPrefix(key, renewalPrefix):
 		c.applyStoredRenewal(value)
 	case strings.HasPrefix(key, LevelPrefix):
 		c.applyLevel(key, value, version)
@@ -244,7 +244,7 @@
 // LeaseUnchanged are the conditions under which the lease value is as this controller knows it,
 // of the generation that it knows.
 func (c *Core) LeaseUnchanged() []wire.Condition {
-	return []wire.Condition{{Key: leaseKey, Version: c.view.LeaseVersion}, {Key: genKey, Version: c.gen.Version}}
+	return []wire.Condition{{Key: leaseKey, Version: c.view.LeaseVersion}, {Key: generationKey, Version: c.storedGeneration.Version}}
 }
 
 // UserWrites tells how many submissions are being stored, and when one last found no
@@ -362,7 +362,7 @@
 		case d.Outcome == eventloop.Succeeded:
 			c.applyPut(endPrefix+id, d.Pair.Value, d.Pair.Version)
 		case d.Outcome == eventloop.NotFound && known && j != nil && !j.Ended && !j.EndInFlight:
-			c.lose("a job is gone from it: "+id, c.high, 0)
+			c.startRecovery("a job is gone from it: "+id, c.highestRevision, 0)
 		}
 		then(d.Outcome == eventloop.Succeeded)
 	})})
@@ -534,7 +534,7 @@
 	// The generation is part of the compare: one who was cut off while the state lost
 	// data need not see it by the revision, which has gone on since from below.
 	if c.view.Params.Levels.KnowsLevels() {
-		conds = append(conds, wire.Condition{Key: genKey, Version: c.gen.Version})
+		conds = append(conds, wire.Condition{Key: generationKey, Version: c.storedGeneration.Version})
 	}
 	for _, q := range batch {
 		if _, ok := known[q.id]; ok {
@@ -554,7 +554,7 @@
 func (c *Core) checked(batch []question, known map[string]bool, d *eventloop.Completion) {
 	failed := map[string]bool{}
 	if d.Outcome == eventloop.Conflict {
-		if slices.Contains(d.Txn.Failed, genKey) {
+		if slices.Contains(d.Txn.Failed, generationKey) {
 			d.Outcome = eventloop.Unavailable // it says nothing that could be told
 			c.readGeneration(func(eventloop.Outcome) {})
 		}
--- a/internal/core/controller/lease.go
+++ b/internal/core/controller/lease.go
@@ -88,7 +88,7 @@
 				// Its only writes make it newer. Where just the last revision is lost, the
 				// next one has the same number and shows nothing; no write of the value
 				// would ever find the version that it is based on.
-				c.lose("the lease value went back", known, d.Pair.Version)
+				c.startRecovery("the lease value went back", known, d.Pair.Version)
 				done(eventloop.NoAnswer)
 				return
 			}
@@ -332,7 +332,7 @@
 		return
 	}
 	c.loop.Emit(eventloop.StateTxn{LeaseBudget: true, ID: c.loop.Call(func(eventloop.Completion) {}),
-		Txn: wire.Txn{Then: []wire.Op{{Put: renPrefix + c.view.Self, Value: map[string]string{
+		Txn: wire.Txn{Then: []wire.Op{{Put: renewalPrefix + c.view.Self, Value: map[string]string{
 			"pb": base64.StdEncoding.EncodeToString(b)}}}}})
 }
 
@@ -441,7 +441,7 @@
 		// The generation is part of the compare: when the state has been rebuilt
 		// its revisions count again from below, and a write of before that could
 		// find the version it was based on.
-		Txn: wire.Txn{If: append(c.LeaseUnchanged(), c.raiseConds(&rec)...), Then: ops},
+		Txn: wire.Txn{If: append(c.LeaseUnchanged(), c.levelRaiseConditions(&rec)...), Then: ops},
 		ID: c.loop.Call(func(d eventloop.Completion) {
 			c.leaseWriteInFlight = false
 			if d.Outcome == eventloop.Succeeded {
--- a/internal/core/controller/level.go
+++ b/internal/core/controller/level.go
@@ -27,18 +27,18 @@
 	frameForm   = 1
 	renewalForm = 1
 
-	// tellGap spaces the looks at whether a controller's record has to be
-	// written, and leftGap the writes of what the raise does not depend on.
-	tellGap = 2 * time.Second
-	leftGap = 10 * time.Second
+	// levelPublishInterval spaces the looks at whether a controller's record has to be
+	// written, and levelProgressInterval the writes of what the raise does not depend on.
+	levelPublishInterval  = 2 * time.Second
+	levelProgressInterval = 10 * time.Second
 )
 
-// level is what has to do with levels.
-type level struct {
-	read    bool // what is stored of all controllers
-	reading bool
-	busy    bool // own record is being written
-	next    time.Time
+// levelPublisher is what has to do with levels.
+type levelPublisher struct {
+	allRead       bool // what is stored of all controllers
+	readInFlight  bool
+	writeInFlight bool // own record is being written
+	nextAt        time.Time
 }
 
 // serves tells whether users and workers can be served at all.
@@ -76,11 +76,11 @@
 	return errors.As(err, &form) || errors.As(err, &lvl)
 }
 
-// raiseConds are the further conditions of a value that raises the level: each
+// levelRaiseConditions are the further conditions of a value that raises the level: each
 // controller's record, and the operator's word, must be those that the leader
 // decided by. A controller that has been replaced meanwhile stops the raise,
 // however late the write arrives.
-func (c *Core) raiseConds(rec *wire.LeaseRecord) []wire.Condition {
+func (c *Core) levelRaiseConditions(rec *wire.LeaseRecord) []wire.Condition {
 	if rec.Level == c.view.Lease.Level && rec.Confirmed == c.view.Lease.Confirmed {
 		return nil
 	}
@@ -97,18 +97,18 @@
 		return
 	}
 	if key == OperatorRequestKey {
-		c.view.OperatorRequest = keep(c, c.view.OperatorRequest, key, value, version, func(w wire.OperatorRequest) int { return w.Form })
+		c.view.OperatorRequest = newerRecord(c, c.view.OperatorRequest, key, value, version, func(w wire.OperatorRequest) int { return w.Form })
 	} else if name, ok := strings.CutPrefix(key, ControllerPrefix); ok {
-		c.view.Controllers[name] = keep(c, c.view.Controllers[name], key, value, version, func(r wire.ControllerRecord) int { return r.Form })
+		c.view.Controllers[name] = newerRecord(c, c.view.Controllers[name], key, value, version, func(r wire.ControllerRecord) int { return r.Form })
 	}
 	if c.leader != nil {
 		c.leader.RequestPublish()
 	}
 }
 
-// keep returns what is stored under a key now. What cannot be read says nothing,
+// newerRecord returns what is stored under a key now. What cannot be read says nothing,
 // but its version counts.
-func keep[T any](c *Core, old cluster.Stored[T], key string, value []byte, version uint64, form func(T) int) cluster.Stored[T] {
+func newerRecord[T any](c *Core, old cluster.Stored[T], key string, value []byte, version uint64, form func(T) int) cluster.Stored[T] {
 	if version <= old.Version {
 		return old
 	}
@@ -130,52 +130,52 @@
 // readLevels reads once what all controllers have told; later changes come with
 // the watch.
 func (c *Core) readLevels() {
-	if c.level.reading || c.loop.Now.Before(c.level.next) {
+	if c.levels.readInFlight || c.loop.Now.Before(c.levels.nextAt) {
 		return
 	}
-	c.level.reading = true
+	c.levels.readInFlight = true
 	c.loop.Emit(eventloop.StateRange{Prefix: LevelPrefix, ID: c.loop.Call(func(d eventloop.Completion) {
-		c.level.reading = false
+		c.levels.readInFlight = false
 		if d.Outcome != eventloop.Succeeded {
-			c.level.next = c.loop.Now.Add(time.Second)
+			c.levels.nextAt = c.loop.Now.Add(time.Second)
 			return
 		}
 		for _, p := range d.Page.Pairs {
 			c.applyLevel(p.Key, p.Value, p.Version)
 		}
-		c.level.read = true
+		c.levels.allRead = true
 	})})
 }
 
-// worthTelling tells whether a record is to be stored in place of another. What
+// shouldPublishLevel tells whether a record is to be stored in place of another. What
 // the raise depends on is told at once, the rest now and then, and not while
 // users are short: in a troubled minute it changes all the time, and every write
 // is one less for them.
-func (c *Core) worthTelling(rec, old *wire.ControllerRecord) bool {
+func (c *Core) shouldPublishLevel(rec, old *wire.ControllerRecord) bool {
 	if rec.Incarnation != old.Incarnation || rec.Version != old.Version || rec.OldestLevel != old.OldestLevel || rec.NewestLevel != old.NewestLevel ||
 		rec.SeenLevel != old.SeenLevel {
 		return true
 	}
 	changed := rec.Ready != old.Ready || rec.UnreconciledMachines != old.UnreconciledMachines || rec.OutdatedRecords != old.OutdatedRecords || !slices.Equal(rec.LevelBlockers, old.LevelBlockers)
-	return changed && c.loop.Now.Sub(time.UnixMilli(old.UpdatedAtMs)) >= leftGap &&
-		c.userWrites == 0 && c.loop.Now.Sub(c.usersShort) >= leftGap
+	return changed && c.loop.Now.Sub(time.UnixMilli(old.UpdatedAtMs)) >= levelProgressInterval &&
+		c.userWrites == 0 && c.loop.Now.Sub(c.usersShort) >= levelProgressInterval
 }
 
-// tellLevel stores what this process can follow, what it has read and how far
+// publishLevel stores what this process can follow, what it has read and how far
 // it has come, when that has changed. It is written under the version that is
 // known, so that an earlier process's late write cannot replace it.
-func (c *Core) tellLevel() {
+func (c *Core) publishLevel() {
 	if !c.view.Params.Levels.KnowsLevels() {
 		return
 	}
-	if !c.level.read {
+	if !c.levels.allRead {
 		c.readLevels()
 		return
 	}
-	if c.level.busy || c.loop.Now.Before(c.level.next) || c.view.LeaseVersion == 0 {
+	if c.levels.writeInFlight || c.loop.Now.Before(c.levels.nextAt) || c.view.LeaseVersion == 0 {
 		return
 	}
-	c.level.next = c.loop.Now.Add(tellGap)
+	c.levels.nextAt = c.loop.Now.Add(levelPublishInterval)
 	stored := c.view.Controllers[c.view.Self]
 	rec := wire.ControllerRecord{Form: wire.ControllerForm, Incarnation: c.blockLease.Incarnation(), Version: c.view.Params.Version,
 		OldestLevel: uint32(c.view.Params.Levels.Oldest), NewestLevel: uint32(c.view.Params.Levels.Newest), SeenLevel: c.view.Lease.Level,
@@ -183,21 +183,21 @@
 	if c.leader != nil {
 		rec.LevelBlockers = c.leader.LevelBlockers()
 	}
-	if !c.worthTelling(&rec, &stored.Value) {
+	if !c.shouldPublishLevel(&rec, &stored.Value) {
 		return
 	}
 	rec.UpdatedAtMs = c.loop.Now.UnixMilli()
-	c.level.busy = true
+	c.levels.writeInFlight = true
 	key := ControllerPrefix + c.view.Self
 	c.loop.Emit(eventloop.StateTxn{
 		Txn: wire.Txn{If: []wire.Condition{{Key: key, Version: stored.Version}}, Then: []wire.Op{{Put: key, Value: rec}}},
 		ID: c.loop.Call(func(d eventloop.Completion) {
-			c.level.busy = false
+			c.levels.writeInFlight = false
 			switch d.Outcome {
 			case eventloop.Succeeded:
 				c.view.Controllers[c.view.Self] = cluster.Stored[wire.ControllerRecord]{Value: rec, Version: d.Txn.Revision}
 			case eventloop.Conflict:
-				c.level.read = false // something has changed unseen: read again
+				c.levels.allRead = false // something has changed unseen: read again
 			}
 		})})
 }
--- a/internal/core/controller/level_test.go
+++ b/internal/core/controller/level_test.go
@@ -49,7 +49,7 @@
 		if len(out) != 1 {
 			t.Fatalf("%d writes", len(out))
 		}
-		want := []wire.Condition{{Key: leaseKey, Version: 5}, {Key: genKey}}
+		want := []wire.Condition{{Key: leaseKey, Version: 5}, {Key: generationKey}}
 		if raise {
 			want = append(want, wire.Condition{Key: OperatorRequestKey, Version: 13}, wire.Condition{Key: ControllerPrefix + "n0", Version: 11}, wire.Condition{Key: ControllerPrefix + "n1", Version: 12})
 		}
--- a/internal/core/controller/meeting_test.go
+++ b/internal/core/controller/meeting_test.go
@@ -236,8 +236,8 @@
 		"a stored job under another's key": {put(jobPrefix+"wk-000009", raw(wire.JobRecord{Job: wire.Job{ID: "wk-000008"}})), eventloop.NoReply, eventloop.NoReply},
 		"a stored end that cannot be read": {put(endPrefix+"wk-000009", []byte{0xc1}), eventloop.NoReply, eventloop.NoReply},
 		"a lease value that is none":       {put(leaseKey, []byte{0xc1}), eventloop.NoReply, eventloop.NoReply},
-		"a renewal that is none":           {put(renPrefix+"n1", raw(map[string]string{"pb": "?"})), eventloop.NoReply, eventloop.NoReply},
-		"a generation that is none":        {put(genKey, []byte{0xc1}), eventloop.NoReply, eventloop.NoReply},
+		"a renewal that is none":           {put(renewalPrefix+"n1", raw(map[string]string{"pb": "?"})), eventloop.NoReply, eventloop.NoReply},
+		"a generation that is none":        {put(generationKey, []byte{0xc1}), eventloop.NoReply, eventloop.NoReply},
 		"a level that is none":             {put(OperatorRequestKey, []byte{0xc1}), eventloop.NoReply, eventloop.NoReply},
 	} {
 		for _, away := range []bool{false, true} {
--- a/internal/core/controller/recover.go
+++ b/internal/core/controller/recover.go
@@ -24,28 +24,28 @@
 // generation and term, and each begins anew, as a process that has just started.
 
 const (
-	// genKey is where the state's generation is stored, see rebuild.Generation.
-	genKey = recovery.Key
-	// joinTime is how long the others get to notice: a watch of theirs is answered.
-	joinTime = cluster.WatchHold + time.Second
-	// recoverPause spaces what is tried again.
-	recoverPause = 300 * time.Millisecond
-	// rebuildBytes is how much a transaction of a rebuild may have, of 64 KiB.
-	rebuildBytes = 40 << 10
+	// generationKey is where the state's generation is stored, see rebuild.Generation.
+	generationKey = recovery.Key
+	// recoveryJoinTime is how long the others get to notice: a watch of theirs is answered.
+	recoveryJoinTime = cluster.WatchHold + time.Second
+	// recoveryRetryInterval spaces what is tried again.
+	recoveryRetryInterval = 300 * time.Millisecond
+	// maxRestoreTxnBytes is how much a transaction of a rebuild may have, of 64 KiB.
+	maxRestoreTxnBytes = 40 << 10
 )
 
 // recoveryRun is a recovery of the state under way.
 type recoveryRun struct {
-	gen      uint64 // that has lost data
-	lost     uint64 // the highest revision seen of it
-	foundRev uint64
-	since    time.Time
-	next     time.Time
-	busy     bool
-	restored bool
-	marked   bool // the state says that it is being rebuilt
-	jobs     int  // stored again
-	ends     int
+	generation       uint64 // that has lost data
+	revisionSeen     uint64 // the highest revision seen of it
+	revisionFound    uint64
+	since            time.Time
+	nextAt           time.Time
+	busy             bool
+	restored         bool
+	markedRebuilding bool // the state says that it is being rebuilt
+	jobs             int  // stored again
+	ends             int
 }
 
 // Recovering tells whether this controller is rebuilding the state, and whether all
@@ -55,17 +55,17 @@
 }
 
 // generation is that of the state this controller goes by.
-func (c *Core) generation() uint64 { return max(1, c.gen.Value.Generation) }
+func (c *Core) generation() uint64 { return max(1, c.storedGeneration.Value.Generation) }
 
-// tellGeneration says in a frame what this controller knows of the state's fate.
-func (c *Core) tellGeneration(f *peerpb.Frame) {
+// addGeneration says in a frame what this controller knows of the state's fate.
+func (c *Core) addGeneration(f *peerpb.Frame) {
 	if !c.view.Params.Levels.KnowsLevels() || (!c.loaded && c.recovery == nil) {
 		return
 	}
 	f.Generation = c.generation()
 	if r := c.recovery; r != nil {
-		f.Generation, f.StateLost, f.StateRestored = r.gen, true, r.restored
-		v := c.leases()
+		f.Generation, f.StateLost, f.StateRestored = r.generation, true, r.restored
+		v := c.leaseView()
 		raw, err := wire.Encode(v)
 		if err != nil {
 			c.log.Error("view of the leases", "err", err)
@@ -73,41 +73,41 @@
 		f.RecoveryView = raw
 		return
 	}
-	f.Revision = c.high
+	f.Revision = c.highestRevision
 }
 
-// leases is what this controller knows of leases and machines.
-func (c *Core) leases() recovery.View {
+// leaseView is what this controller knows of leases and machines.
+func (c *Core) leaseView() recovery.View {
 	v := recovery.ViewOf(c.view.Lease)
 	v.Machines, v.Token = c.owner.ForeignWorkers(), c.owner.Token()
 	slices.Sort(v.Machines)
 	return v
 }
 
-// waking is a process that has just started: what it reads may have lost data, of
+// startupCheck is a process that has just started: what it reads may have lost data, of
 // which it can know nothing. So it asks the others first, and waits while a rebuild
 // is under way.
-type waking struct {
-	asked    time.Time
-	genRead  bool
-	doubtAt  time.Time // an answer fell short of what another controller had seen
-	deserted time.Time // since when a rebuild is under way and nobody in reach is at it
+type startupCheck struct {
+	helloSentAt    time.Time
+	generationRead bool
+	staleAnswerAt  time.Time // an answer fell short of what another controller had seen
+	abandonedSince time.Time // since when a rebuild is under way and nobody in reach is at it
 }
 
 const (
-	// helloWait is how long a process waits for the others' answers.
-	helloWait = 250 * time.Millisecond
-	// doubtFor is how long the others may take to notice what it has noticed.
-	doubtFor = cluster.WatchHold + time.Second
-	// desertedFor is how long a rebuild may be nobody's before one that knows
+	// helloTimeout is how long a process waits for the others' answers.
+	helloTimeout = 250 * time.Millisecond
+	// staleAnswerWait is how long the others may take to notice what it has noticed.
+	staleAnswerWait = cluster.WatchHold + time.Second
+	// abandonedRecoveryTimeout is how long a rebuild may be nobody's before one that knows
 	// nothing goes on with it.
-	desertedFor = 15 * time.Second
+	abandonedRecoveryTimeout = 15 * time.Second
 )
 
-// wake asks the others and begins to read once they have answered.
-func (c *Core) wake() {
-	if c.waking.asked.IsZero() {
-		c.waking.asked = c.loop.Now
+// startUp asks the others and begins to read once they have answered.
+func (c *Core) startUp() {
+	if c.startup.helloSentAt.IsZero() {
+		c.startup.helloSentAt = c.loop.Now
 		f := c.newFrame()
 		f.Hello = true
 		for _, name := range cluster.SortedKeys(c.view.Peers) {
@@ -115,71 +115,71 @@
 		}
 	}
 	for name := range c.view.Peers {
-		if !c.view.IsReachable(name, c.loop.Now) && c.loop.Now.Sub(c.waking.asked) < helloWait {
+		if !c.view.IsReachable(name, c.loop.Now) && c.loop.Now.Sub(c.startup.helloSentAt) < helloTimeout {
 			return
 		}
 	}
 	c.load()
 }
 
-// doubtful tells whether what this process reads is not to be worked with yet.
-func (c *Core) doubtful() bool {
+// stateUnsettled tells whether what this process reads is not to be worked with yet.
+func (c *Core) stateUnsettled() bool {
 	if !c.view.Params.Levels.KnowsLevels() {
 		return false
 	}
-	elsewhere := c.lostElsewhere()
-	if !c.gen.Value.Rebuilding || elsewhere {
-		c.waking.deserted = time.Time{}
-	} else if c.waking.deserted.IsZero() {
-		c.waking.deserted = c.loop.Now
-	} else if c.loop.Now.Sub(c.waking.deserted) > desertedFor {
+	elsewhere := c.peerRecovering()
+	if !c.storedGeneration.Value.Rebuilding || elsewhere {
+		c.startup.abandonedSince = time.Time{}
+	} else if c.startup.abandonedSince.IsZero() {
+		c.startup.abandonedSince = c.loop.Now
+	} else if c.loop.Now.Sub(c.startup.abandonedSince) > abandonedRecoveryTimeout {
 		c.log.Warn("nobody goes on with the rebuild of the state", "generation", c.generation())
-		c.recovery = &recoveryRun{gen: c.generation(), since: c.loop.Now}
+		c.recovery = &recoveryRun{generation: c.generation(), since: c.loop.Now}
 	}
-	return elsewhere || c.gen.Value.Rebuilding || (!c.waking.doubtAt.IsZero() && c.loop.Now.Sub(c.waking.doubtAt) < doubtFor)
+	return elsewhere || c.storedGeneration.Value.Rebuilding || (!c.startup.staleAnswerAt.IsZero() && c.loop.Now.Sub(c.startup.staleAnswerAt) < staleAnswerWait)
 }
 
-// witness looks at the revision in an answer of the state service. The service is
+// checkRevision looks at the revision in an answer of the state service. The service is
 // consistent, so what it answers is never older than what it had answered when the
 // request went out: unless it has lost something. An outage, a refusal, a slow or
 // late answer all show nothing of the kind.
-func (c *Core) witness(d *eventloop.Completion) {
+func (c *Core) checkRevision(d *eventloop.Completion) {
 	if !d.FromStateService || (d.Outcome != eventloop.Succeeded && d.Outcome != eventloop.Conflict) {
 		return
 	}
 	if d.Pair.Key != "" { // what was read, not when: only that it was there by then
-		c.high = max(c.high, d.Pair.Version)
-		c.loop.Generation = c.high
+		c.highestRevision = max(c.highestRevision, d.Pair.Version)
+		c.loop.Generation = c.highestRevision
 		return
 	}
 	rev := max(d.Txn.Revision, d.Page.Revision, d.Changes.Revision)
 	if mark := c.loop.CallGeneration(d.ID); rev < mark {
 		if !c.loaded && c.recovery == nil {
-			c.waking.doubtAt, c.high, c.loop.Generation = c.loop.Now, 0, 0
+			c.startup.staleAnswerAt, c.highestRevision, c.loop.Generation = c.loop.Now, 0, 0
 		}
-		c.lose("its revisions went back", mark, rev)
+		c.startRecovery("its revisions went back", mark, rev)
 		return
 	}
-	c.high = max(c.high, rev)
-	c.loop.Generation = c.high
+	c.highestRevision = max(c.highestRevision, rev)
+	c.loop.Generation = c.highestRevision
 }
 
-// lose notes that the state has lost data and begins to rebuild it.
-func (c *Core) lose(why string, seen, found uint64) {
+// startRecovery notes that the state has lost data and begins to rebuild it.
+func (c *Core) startRecovery(why string, seen, found uint64) {
 	if r := c.recovery; r != nil { // once more, while it was being rebuilt
 		if !r.since.Equal(c.loop.Now) {
-			r.restored, r.marked, r.since = false, false, c.loop.Now
+			r.restored, r.markedRebuilding, r.since = false, false, c.loop.Now
 		}
-		c.high, c.loop.Generation = 0, 0
+		c.highestRevision, c.loop.Generation = 0, 0
 		return
 	}
-	if !c.mayRebuild() {
+	if !c.canRecover() {
 		return
 	}
 	c.log.Error("the state has lost data", "why", why, "seen", seen, "found", found, "generation", c.generation(),
 		"jobs", len(c.owner.Jobs()), "ends", len(c.ended))
-	c.recovery = &recoveryRun{gen: c.generation(), lost: seen, foundRev: found, since: c.loop.Now}
-	c.high, c.loop.Generation = 0, 0
+	c.recovery = &recoveryRun{generation: c.generation(), revisionSeen: seen, revisionFound: found, since: c.loop.Now}
+	c.highestRevision, c.loop.Generation = 0, 0
 	c.stepDown()
 	for rank, queue := range c.verify.queue {
 		c.verify.queue[rank] = nil
@@ -191,10 +191,10 @@
 	c.heartbeatPeers()
 }
 
-// mayRebuild tells whether this controller knows the state and all others that it
+// canRecover tells whether this controller knows the state and all others that it
 // has heard can follow; one of an earlier version would go on by what is gone.
-func (c *Core) mayRebuild() bool {
-	if !c.view.Params.Levels.KnowsLevels() || c.incompatible != nil || c.shuttingDown || (!c.loaded && len(c.kept.Jobs)+len(c.kept.Ends) == 0) {
+func (c *Core) canRecover() bool {
+	if !c.view.Params.Levels.KnowsLevels() || c.incompatible != nil || c.shuttingDown || (!c.loaded && len(c.previousState.Jobs)+len(c.previousState.Ends) == 0) {
 		return false
 	}
 	for name, p := range c.view.Peers {
@@ -205,9 +205,9 @@
 	return true
 }
 
-// heardOfLoss acts on what another controller tells of the state: that it has lost
+// handlePeerGeneration acts on what another controller tells of the state: that it has lost
 // data, or that it has been rebuilt without this controller.
-func (c *Core) heardOfLoss(p *cluster.Peer, view []byte) {
+func (c *Core) handlePeerGeneration(p *cluster.Peer, view []byte) {
 	p.RecoveryView = nil
 	if len(view) > 0 {
 		v := new(recovery.View)
@@ -217,22 +217,22 @@
 			p.RecoveryView = v
 		}
 	}
-	if c.recovery == nil && c.waking.genRead && p.Generation == c.generation() && !p.StateLost {
-		c.high = max(c.high, p.Revision) // what is asked from now on shows as much
-		c.loop.Generation = c.high
+	if c.recovery == nil && c.startup.generationRead && p.Generation == c.generation() && !p.StateLost {
+		c.highestRevision = max(c.highestRevision, p.Revision) // what is asked from now on shows as much
+		c.loop.Generation = c.highestRevision
 	}
 	switch {
 	case c.recovery != nil || !c.loaded || p.Generation == 0:
 	case p.StateLost && p.Generation == c.generation():
-		c.lose("another controller says so", c.high, 0)
+		c.startRecovery("another controller says so", c.highestRevision, 0)
 	case !p.StateLost && p.Generation > c.generation():
-		c.lose("it was rebuilt without this controller", c.high, 0)
+		c.startRecovery("it was rebuilt without this controller", c.highestRevision, 0)
 	}
 }
 
-// lostElsewhere tells whether another controller is rebuilding the generation that
+// peerRecovering tells whether another controller is rebuilding the generation that
 // was read here: a process that has just started has nothing to add, and waits.
-func (c *Core) lostElsewhere() bool {
+func (c *Core) peerRecovering() bool {
 	for name, p := range c.view.Peers {
 		if p.StateLost && p.Generation >= c.generation() && c.view.IsReachable(name, c.loop.Now) {
 			return true
@@ -243,18 +243,18 @@
 
 // readGeneration reads the state's generation.
 func (c *Core) readGeneration(then func(outcome eventloop.Outcome)) {
-	c.loop.Emit(eventloop.StateGet{Key: genKey, ID: c.loop.Call(func(d eventloop.Completion) {
+	c.loop.Emit(eventloop.StateGet{Key: generationKey, ID: c.loop.Call(func(d eventloop.Completion) {
 		if d.Outcome == eventloop.Succeeded {
 			c.applyGeneration(d.Pair.Value, d.Pair.Version)
 		}
-		c.waking.genRead = c.waking.genRead || d.Outcome == eventloop.Succeeded || d.Outcome == eventloop.NotFound
+		c.startup.generationRead = c.startup.generationRead || d.Outcome == eventloop.Succeeded || d.Outcome == eventloop.NotFound
 		then(d.Outcome)
 	})})
 }
 
 // applyGeneration takes in the state's generation.
 func (c *Core) applyGeneration(value []byte, version uint64) {
-	if version <= c.gen.Version {
+	if version <= c.storedGeneration.Version {
 		return
 	}
 	g, err := recovery.Decode(value)
@@ -265,27 +265,27 @@
 	if c.loaded && c.recovery == nil {
 		switch {
 		case g.Generation > c.generation():
-			c.lose("it was rebuilt without this controller", c.high, version)
+			c.startRecovery("it was rebuilt without this controller", c.highestRevision, version)
 		case g.Rebuilding:
-			c.lose("it is being rebuilt", c.high, version)
+			c.startRecovery("it is being rebuilt", c.highestRevision, version)
 		}
 	}
 	if c.recovery == nil { // else it is what recover compares with
-		c.gen = cluster.Stored[recovery.Generation]{Value: g, Version: version}
+		c.storedGeneration = cluster.Stored[recovery.Generation]{Value: g, Version: version}
 	}
 }
 
-// memory is what this controller knows, and still knows of before a rebuild.
-func (c *Core) memory() recovery.KnownState {
+// knownState is what this controller knows, and still knows of before a rebuild.
+func (c *Core) knownState() recovery.KnownState {
 	m := recovery.KnownState{Jobs: c.owner.Records(), Ends: maps.Clone(c.ended), CompletedTasks: c.owner.CompletedTasks()}
-	join(m.Jobs, c.kept.Jobs)
-	join(m.Ends, c.kept.Ends)
-	join(m.CompletedTasks, c.kept.CompletedTasks)
+	addMissing(m.Jobs, c.previousState.Jobs)
+	addMissing(m.Ends, c.previousState.Ends)
+	addMissing(m.CompletedTasks, c.previousState.CompletedTasks)
 	return m
 }
 
-// join adds to a map what another has and it has not.
-func join[V any](to, from map[string]V) {
+// addMissing adds to a map what another has and it has not.
+func addMissing[V any](to, from map[string]V) {
 	for k, v := range from {
 		if _, ok := to[k]; !ok {
 			to[k] = v
@@ -293,18 +293,18 @@
 	}
 }
 
-// recover takes the next step of a rebuild. It is called with every tick.
-func (c *Core) recover() {
+// stepRecovery takes the next step of a rebuild. It is called with every tick.
+func (c *Core) stepRecovery() {
 	r := c.recovery
 	c.heartbeatPeers()
 	c.owner.CheckMachines()
-	if r.busy || c.loop.Now.Before(r.next) || (r.marked && c.loop.Now.Sub(r.since) < joinTime) {
+	if r.busy || c.loop.Now.Before(r.nextAt) || (r.markedRebuilding && c.loop.Now.Sub(r.since) < recoveryJoinTime) {
 		return
 	}
 	r.busy = true
-	done := func() { r.busy, r.next = false, c.loop.Now.Add(recoverPause) }
+	done := func() { r.busy, r.nextAt = false, c.loop.Now.Add(recoveryRetryInterval) }
 	// By a range, as that tells the revision too: what is lost once more is noticed.
-	c.loop.Emit(eventloop.StateRange{Prefix: genKey, ID: c.loop.Call(func(d eventloop.Completion) {
+	c.loop.Emit(eventloop.StateRange{Prefix: generationKey, ID: c.loop.Call(func(d eventloop.Completion) {
 		var g recovery.Generation
 		version := uint64(0)
 		for _, p := range d.Page.Pairs {
@@ -316,33 +316,33 @@
 				return
 			}
 		}
-		rebuilt := g.Generation > r.gen
+		rebuilt := g.Generation > r.generation
 		switch {
 		case d.Outcome != eventloop.Succeeded:
 			done()
 		case !rebuilt && !g.Rebuilding:
-			c.mark(version, done)
-		case c.loop.Now.Sub(r.since) < joinTime:
-			r.marked = true
+			c.markRebuilding(version, done)
+		case c.loop.Now.Sub(r.since) < recoveryJoinTime:
+			r.markedRebuilding = true
 			done()
-		case rebuilt && (r.restored || !c.mayAdd()):
-			if !r.restored { // said, and not made up: see mayAdd
+		case rebuilt && (r.restored || !c.mayAddRecords()):
+			if !r.restored { // said, and not made up: see mayAddRecords
 				c.log.Error("the state was rebuilt without this controller, and takes nothing from it any more", "generation", g.Generation, "known", len(c.owner.Jobs()))
 			}
-			c.beginAnew()
-		case !r.restored && (rebuilt || c.myTurn()):
-			c.readState(func(s *state) {
+			c.restart()
+		case !r.restored && (rebuilt || c.isTurnToRestore()):
+			c.readStoredState(func(s *storedState) {
 				if done(); s != nil {
-					c.restore(s, func() {
+					c.restoreMissing(s, func() {
 						r.restored, c.nextHeartbeatAt = true, time.Time{} // the next one waits for it
 						c.heartbeatPeers()
 					})
 				}
 			})
-		case r.restored && c.chosen():
-			c.readState(func(s *state) {
+		case r.restored && c.isFirstOfRecovering():
+			c.readStoredState(func(s *storedState) {
 				if done(); s != nil {
-					c.renewLease(s)
+					c.writeRecoveredLease(s)
 				}
 			})
 		default:
@@ -351,56 +351,56 @@
 	})})
 }
 
-// mark says in the state that it is being rebuilt.
-func (c *Core) mark(version uint64, then func()) {
-	g := recovery.Generation{Form: recovery.GenerationForm, Generation: c.recovery.gen, Rebuilding: true, Controller: c.view.Self, RecoveredAtMs: c.loop.Now.UnixMilli()}
+// markRebuilding says in the state that it is being rebuilt.
+func (c *Core) markRebuilding(version uint64, then func()) {
+	g := recovery.Generation{Form: recovery.GenerationForm, Generation: c.recovery.generation, Rebuilding: true, Controller: c.view.Self, RecoveredAtMs: c.loop.Now.UnixMilli()}
 	c.loop.Emit(eventloop.StateTxn{LeaseBudget: true, ID: c.loop.Call(func(eventloop.Completion) { then() }),
-		Txn: wire.Txn{If: []wire.Condition{{Key: genKey, Version: version}}, Then: []wire.Op{{Put: genKey, Value: g}}}})
+		Txn: wire.Txn{If: []wire.Condition{{Key: generationKey, Version: version}}, Then: []wire.Op{{Put: generationKey, Value: g}}}})
 }
 
-// mayAdd tells whether records may come into a state that others work with already:
+// mayAddRecords tells whether records may come into a state that others work with already:
 // only in an envelope does a record say that its tasks may have been started.
-func (c *Core) mayAdd() bool { return c.view.FeatureOpen(feature.Envelope) }
+func (c *Core) mayAddRecords() bool { return c.view.FeatureOpen(feature.Envelope) }
 
-// rebuilders calls f for each controller in reach that rebuilds the same
+// recoveringPeers calls f for each controller in reach that rebuilds the same
 // generation, in the order of their names.
-func (c *Core) rebuilders(f func(name string, p *cluster.Peer)) {
+func (c *Core) recoveringPeers(f func(name string, p *cluster.Peer)) {
 	for _, name := range cluster.SortedKeys(c.view.Peers) {
-		if p := c.view.Peers[name]; p.StateLost && p.Generation == c.recovery.gen && c.view.IsReachable(name, c.loop.Now) {
+		if p := c.view.Peers[name]; p.StateLost && p.Generation == c.recovery.generation && c.view.IsReachable(name, c.loop.Now) {
 			f(name, p)
 		}
 	}
 }
 
-// myTurn tells whether all rebuilders before this one have stored what they knew.
-func (c *Core) myTurn() bool {
+// isTurnToRestore tells whether all rebuilders before this one have stored what they knew.
+func (c *Core) isTurnToRestore() bool {
 	turn := true
-	c.rebuilders(func(name string, p *cluster.Peer) { turn = turn && (name > c.view.Self || p.StateRestored) })
+	c.recoveringPeers(func(name string, p *cluster.Peer) { turn = turn && (name > c.view.Self || p.StateRestored) })
 	return turn
 }
 
-// chosen tells whether this controller is the first of the rebuilders, and all of
+// isFirstOfRecovering tells whether this controller is the first of the rebuilders, and all of
 // them have stored what they knew. Should two think so, the state decides.
-func (c *Core) chosen() bool {
+func (c *Core) isFirstOfRecovering() bool {
 	first := true
-	c.rebuilders(func(name string, p *cluster.Peer) { first = first && name > c.view.Self && p.StateRestored })
+	c.recoveringPeers(func(name string, p *cluster.Peer) { first = first && name > c.view.Self && p.StateRestored })
 	return first
 }
 
-// state is what the state service holds, as a rebuild reads it.
-type state struct {
-	found      recovery.StoredState
-	lease      wire.LeaseRecord
-	version    uint64 // of the lease value; 0: there is none
-	gen        recovery.Generation
-	genVersion uint64
-	pages      map[string]bool // keys of completed tasks
-	book       leasevalue.PageTable
+// storedState is what the state service holds, as a rebuild reads it.
+type storedState struct {
+	found             recovery.StoredState
+	lease             wire.LeaseRecord
+	leaseVersion      uint64 // of the lease value; 0: there is none
+	generation        recovery.Generation
+	generationVersion uint64
+	completedPages    map[string]bool // keys of completed tasks
+	leasePages        leasevalue.PageTable
 }
 
-// readState reads everything; then gets nil if that failed.
-func (c *Core) readState(then func(s *state)) {
-	s := &state{pages: map[string]bool{}, found: recovery.StoredState{Jobs: map[string]uint64{}, Ends: map[string]recovery.StoredEnd{}, CompletedTasks: map[string][]byte{}}}
+// readStoredState reads everything; then gets nil if that failed.
+func (c *Core) readStoredState(then func(s *storedState)) {
+	s := &storedState{completedPages: map[string]bool{}, found: recovery.StoredState{Jobs: map[string]uint64{}, Ends: map[string]recovery.StoredEnd{}, CompletedTasks: map[string][]byte{}}}
 	var lease []byte
 	take := func(p wire.Pair) {
 		if id, ok := strings.CutPrefix(p.Key, jobPrefix); ok {
@@ -412,7 +412,7 @@
 			}
 			s.found.Ends[id] = recovery.StoredEnd{State: e.State, Version: p.Version}
 		} else if strings.HasPrefix(p.Key, owner.PagePrefix) {
-			s.pages[p.Key] = true
+			s.completedPages[p.Key] = true
 			facts, err := c.owner.ParsePage(p.Key, p.Value)
 			if err != nil {
 				c.log.Error("page of completed tasks", "key", p.Key, "err", err)
@@ -421,15 +421,15 @@
 				s.found.CompletedTasks[entry] = owner.MergeCompleted(s.found.CompletedTasks[entry], raw)
 			}
 		} else if strings.HasPrefix(p.Key, leasevalue.PagePrefix) {
-			if _, err := s.book.ReadPage(p.Key, p.Value); err != nil {
+			if _, err := s.leasePages.ReadPage(p.Key, p.Value); err != nil {
 				c.log.Error("lease page", "err", err)
 			}
 		} else if p.Key == leaseKey {
-			lease, s.version = p.Value, p.Version
-		} else if p.Key == genKey {
-			s.genVersion = p.Version
+			lease, s.leaseVersion = p.Value, p.Version
+		} else if p.Key == generationKey {
+			s.generationVersion = p.Version
 			var err error
-			if s.gen, err = recovery.Decode(p.Value); err != nil {
+			if s.generation, err = recovery.Decode(p.Value); err != nil {
 				c.log.Error("generation", "err", err)
 			}
 		}
@@ -452,7 +452,7 @@
 				read(prefixes[1:], "")
 			default:
 				if lease != nil {
-					rec, err := s.book.Read(lease)
+					rec, err := s.leasePages.Read(lease)
 					if err != nil { // half of it may be gone; what was known of it is not
 						c.log.Error("lease value", "err", err)
 					} else {
@@ -466,24 +466,24 @@
 	read([]string{root, owner.PagePrefix}, "")
 }
 
-// restore stores what is known here and not there; then is called once nothing is
+// restoreMissing stores what is known here and not there; then is called once nothing is
 // missing any more.
-func (c *Core) restore(s *state, then func()) {
-	r, m := c.recovery, c.memory()
+func (c *Core) restoreMissing(s *storedState, then func()) {
+	r, m := c.recovery, c.knownState()
 	st := c.view.Settings.Cluster.State
 	txns, jobs, ends, err := recovery.MissingWrites(&m, &s.found, recovery.Keys{Job: jobPrefix, End: endPrefix},
-		recovery.Limits{Ops: st.TxnOps, Bytes: rebuildBytes})
+		recovery.Limits{Ops: st.TxnOps, Bytes: maxRestoreTxnBytes})
 	if err != nil {
 		c.log.Error("rebuilding", "err", err)
 		return
 	}
 	n := 0
 	for _, entries := range recovery.CompletedTaskPages(&m, &s.found, c.owner.PageBytes()) {
-		for s.pages[c.factPage(n)] {
+		for s.completedPages[c.completedPageKey(n)] {
 			n++
 		}
-		key := c.factPage(n)
-		s.pages[key] = true
+		key := c.completedPageKey(n)
+		s.completedPages[key] = true
 		txns = append(txns, wire.Txn{If: []wire.Condition{{Key: key}}, Then: []wire.Op{{Put: key, Value: c.owner.PageValue(entries)}}})
 	}
 	if len(txns) == 0 {
@@ -506,74 +506,74 @@
 				return
 			}
 			// All stored, or something is not as it was found: read again.
-			r.busy, r.next = false, c.loop.Now.Add(recoverPause)
+			r.busy, r.nextAt = false, c.loop.Now.Add(recoveryRetryInterval)
 		})})
 	}
 	write()
 }
 
-// factPage is where this controller stores page n of completed tasks that it knew
+// completedPageKey is where this controller stores page n of completed tasks that it knew
 // of: beside the pages of its processes, which count from 0.
-func (c *Core) factPage(n int) string {
+func (c *Core) completedPageKey(n int) string {
 	return owner.PagePrefix + c.view.Self + "/" + strconv.Itoa(500+n)
 }
 
-// renewLease writes the lease value and the generation that the state goes on with.
-func (c *Core) renewLease(s *state) {
+// writeRecoveredLease writes the lease value and the generation that the state goes on with.
+func (c *Core) writeRecoveredLease(s *storedState) {
 	r := c.recovery
-	if s.gen.Generation > r.gen {
+	if s.generation.Generation > r.generation {
 		return // somebody else has; the next look sees it
 	}
 	c.blockLease.RaiseIncarnation(max(s.lease.Incarnation, s.lease.Blocks[c.view.Self].Incarnation, c.view.Lease.Blocks[c.view.Self].Incarnation))
 	// A machine that only the newest value names may run tasks already, and whoever
 	// has read that value need not be the one who rebuilds.
-	own, found := c.leases(), recovery.ViewOf(s.lease)
+	own, found := c.leaseView(), recovery.ViewOf(s.lease)
 	views := []*recovery.View{&own, &found}
-	c.rebuilders(func(_ string, p *cluster.Peer) {
+	c.recoveringPeers(func(_ string, p *cluster.Peer) {
 		if p.RecoveryView != nil {
 			views = append(views, p.RecoveryView)
 		}
 	})
-	rec := recovery.MergeLease(c.view.Self, c.blockLease.Incarnation(), r.gen+1, func(team string) wire.Share {
+	rec := recovery.MergeLease(c.view.Self, c.blockLease.Incarnation(), r.generation+1, func(team string) wire.Share {
 		l := c.view.LimitOf(team)
 		return wire.Share{CPUs: int(l.CPUs), GPUs: int(l.GPUs)}
 	}, views...)
 	ops := []wire.Op{{Put: leaseKey, Value: rec}}
 	if rec.Form >= 2 {
-		draft, err := s.book.Write(&rec, c.view.Settings.ValueLimits())
+		draft, err := s.leasePages.Write(&rec, c.view.Settings.ValueLimits())
 		if err != nil {
 			c.log.Error("lease value", "err", err)
 			return
 		}
 		ops = draft.Ops
 	}
-	g := recovery.Generation{Form: recovery.GenerationForm, Generation: r.gen + 1, Controller: c.view.Self, RevisionSeen: r.lost, RevisionFound: r.foundRev,
+	g := recovery.Generation{Form: recovery.GenerationForm, Generation: r.generation + 1, Controller: c.view.Self, RevisionSeen: r.revisionSeen, RevisionFound: r.revisionFound,
 		Jobs: r.jobs, Ends: r.ends, RecoveredAtMs: c.loop.Now.UnixMilli(), TookMs: c.loop.Now.Sub(r.since).Milliseconds(),
 		Machines: len(rec.Blocks[c.view.Self].Unreconciled)}
-	ops = append(ops, wire.Op{Put: genKey, Value: g})
+	ops = append(ops, wire.Op{Put: generationKey, Value: g})
 	r.busy = true
 	c.loop.Emit(eventloop.StateTxn{LeaseBudget: true,
-		Txn: wire.Txn{If: []wire.Condition{{Key: leaseKey, Version: s.version}, {Key: genKey, Version: s.genVersion}}, Then: ops},
+		Txn: wire.Txn{If: []wire.Condition{{Key: leaseKey, Version: s.leaseVersion}, {Key: generationKey, Version: s.generationVersion}}, Then: ops},
 		ID: c.loop.Call(func(d eventloop.Completion) {
-			r.busy, r.next = false, c.loop.Now.Add(recoverPause)
+			r.busy, r.nextAt = false, c.loop.Now.Add(recoveryRetryInterval)
 			if d.Outcome == eventloop.Succeeded && c.recovery == r {
 				c.log.Info("state rebuilt", "generation", g.Generation, "jobs", g.Jobs, "ends", g.Ends, "machines", g.Machines,
 					"term", rec.Term, "took", c.loop.Now.Sub(r.since))
-				c.beginAnew()
+				c.restart()
 			}
 		})})
 }
 
-// beginAnew makes this controller a process that has just started. What it knew is
+// restart makes this controller a process that has just started. What it knew is
 // kept until all has been read, should the state lose data once more.
-func (c *Core) beginAnew() {
-	kept, old := c.memory(), *c
+func (c *Core) restart() {
+	kept, old := c.knownState(), *c
 	c.loop.DropCalls()
-	*c = Core{loop: c.loop, kept: kept, shuttingDown: old.shuttingDown, steppedAt: old.steppedAt, stateOK: old.stateOK}
+	*c = Core{loop: c.loop, previousState: kept, shuttingDown: old.shuttingDown, steppedAt: old.steppedAt, stateOK: old.stateOK}
 	c.loop.Generation = 0
 	view := cluster.New(old.view.Settings, old.view.Params)
 	view.MachineTypes = old.view.MachineTypes
-	c.begin(view, old.log, old.blockLease.Incarnation()+1)
+	c.reset(view, old.log, old.blockLease.Incarnation()+1)
 	c.owner.Served = old.owner.Served
 	c.load()
 }
