--- a/internal/core/controller/clear.go
+++ b/internal/core/controller/clear.go
@@ -20,18 +20,18 @@
 // known. One that is missing, stands still, is cut off, has just started or belongs to
 // an earlier version does not answer, and the proof ends by itself.
 
-// asksKept bounds the asks whose answers still count, one a second.
-const asksKept = 16
+// maxFreshnessRequests bounds the asks whose answers still count, one a second.
+const maxFreshnessRequests = 16
 
-// askAll notes that a frame which asks is sent, and writes the ask and the answers to
+// addFreshnessRequest notes that a frame which asks is sent, and writes the ask and the answers to
 // others into it.
-func (c *Core) askAll(f *peerpb.Frame) {
+func (c *Core) addFreshnessRequest(f *peerpb.Frame) {
 	if !c.view.Params.Levels.KnowsLevels() || !c.loaded || c.recovery != nil {
 		return
 	}
-	c.asks++
-	c.askedAt[c.asks%asksKept] = c.loop.Now
-	f.FreshnessRequest, f.CancelledRevision = c.asks, c.cancelled
+	c.freshnessRequests++
+	c.freshnessRequestedAt[c.freshnessRequests%maxFreshnessRequests] = c.loop.Now
+	f.FreshnessRequest, f.CancelledRevision = c.freshnessRequests, c.cancelledRevision
 	for _, name := range cluster.SortedKeys(c.view.Peers) {
 		if p := c.view.Peers[name]; p.FreshnessRequest > 0 {
 			f.FreshnessReplies = append(f.FreshnessReplies, &peerpb.FreshnessReply{To: name, Process: p.Incarnation, Request: p.FreshnessRequest})
@@ -39,20 +39,20 @@
 	}
 }
 
-// answered takes in what a frame says of cancellations.
-func (c *Core) answered(p *cluster.Peer, f *peerpb.Frame) {
+// handleFreshnessReplies takes in what a frame says of cancellations.
+func (c *Core) handleFreshnessReplies(p *cluster.Peer, f *peerpb.Frame) {
 	if f.GetFreshnessRequest() > 0 {
 		p.FreshnessRequest = f.GetFreshnessRequest()
 	}
 	if !c.loaded || c.recovery != nil || f.GetStateLost() || f.GetGeneration() != c.generation() ||
-		f.GetCancelledRevision() == 0 || f.GetCancelledRevision() > c.rev {
+		f.GetCancelledRevision() == 0 || f.GetCancelledRevision() > c.revision {
 		return
 	}
 	for _, e := range f.GetFreshnessReplies() {
-		if e.GetTo() != c.view.Self || e.GetProcess() != c.blockLease.Incarnation() || e.GetRequest() > c.asks || e.GetRequest()+asksKept <= c.asks {
+		if e.GetTo() != c.view.Self || e.GetProcess() != c.blockLease.Incarnation() || e.GetRequest() > c.freshnessRequests || e.GetRequest()+maxFreshnessRequests <= c.freshnessRequests {
 			continue
 		}
-		if at := c.askedAt[e.GetRequest()%asksKept]; at.After(p.CancellationsKnownUntil) {
+		if at := c.freshnessRequestedAt[e.GetRequest()%maxFreshnessRequests]; at.After(p.CancellationsKnownUntil) {
 			p.CancellationsKnownUntil = at
 		}
 	}
--- a/internal/core/controller/controller.go
+++ b/internal/core/controller/controller.go
@@ -33,21 +33,21 @@
 	leader *leader.Leader // nil while another controller leads
 
 	// What the state service holds, as far as this controller knows.
-	loaded     bool
-	loading    bool
-	retryAt    time.Time
-	rev        uint64
-	watchAt    time.Time
-	watching   bool
-	stateOK    time.Time // last answer of the state service
-	ended      map[string]wire.EndRecord
-	endedOrder []string
-	verify     verifier
-	userWrites int       // submissions being stored
-	usersShort time.Time // when one last found no room in the write limit
+	loaded                bool
+	loading               bool
+	retryAt               time.Time
+	revision              uint64
+	watchAt               time.Time
+	watching              bool
+	lastStateAnswer       time.Time // last answer of the state service
+	ended                 map[string]wire.EndRecord
+	endedOrder            []string
+	freshness             freshnessChecker
+	userWrites            int       // submissions being stored
+	userWritesThrottledAt time.Time // when one last found no room in the write limit
 
-	typesAt   time.Time
-	typesBusy bool
+	typesRequestedAt time.Time
+	typesInFlight    bool
 
 	// The lease value.
 	leaderSeenAt           time.Time // the election's patience counts from here
@@ -76,14 +76,14 @@
 	// What was last told to the peers.
 	nextHeartbeatAt time.Time
 
-	steppedAt        time.Time // when the last event was handled
-	wokeAt           time.Time // until when it last stood still, or was without the state service
-	leaseWriteSentAt time.Time // when the last write of the lease value went out
-	cancelled        uint64    // no cancellation beyond this revision has been told from here
-	asks             uint64    // see clear.go
-	askedAt          [asksKept]time.Time
-	spare            float64          // processors free here beyond what waits
-	room             cluster.Capacity // free here
+	lastStepAt           time.Time // when the last event was handled
+	resumedAt            time.Time // until when it last stood still, or was without the state service
+	leaseWriteSentAt     time.Time // when the last write of the lease value went out
+	cancelledRevision    uint64    // no cancellation beyond this revision has been told from here
+	freshnessRequests    uint64    // see clear.go
+	freshnessRequestedAt [maxFreshnessRequests]time.Time
+	spareCPUs            float64          // processors free here beyond what waits
+	capacity             cluster.Capacity // free here
 }
 
 // New returns the core of the controller described by cfg. incarnation must
@@ -104,12 +104,12 @@
 // Step handles one event and returns what is to be done.
 func (c *Core) Step(now time.Time, ev eventloop.Event) []eventloop.Effect {
 	c.loop.Begin(now)
-	if gap := now.Sub(c.steppedAt); gap > stoodStill && !c.steppedAt.IsZero() {
+	if gap := now.Sub(c.lastStepAt); gap > maxStepGap && !c.lastStepAt.IsZero() {
 		c.log.Info("stood still", "for", gap.Round(time.Millisecond))
 		c.owner.ResumedAfter(gap)
-		c.wokeAt = now
+		c.resumedAt = now
 	}
-	c.steppedAt = now
+	c.lastStepAt = now
 	switch e := ev.(type) {
 	case eventloop.Tick:
 		c.tick()
@@ -127,10 +127,10 @@
 		c.handlePeerFrame(e.Frame)
 	case eventloop.Completion:
 		if e.FromStateService && (e.Outcome == eventloop.Succeeded || e.Outcome == eventloop.NotFound || e.Outcome == eventloop.Conflict) {
-			if !c.reachable() && !c.stateOK.IsZero() {
-				c.wokeAt = now // what it has missed meanwhile may be a loss
+			if !c.stateReachable() && !c.lastStateAnswer.IsZero() {
+				c.resumedAt = now // what it has missed meanwhile may be a loss
 			}
-			c.stateOK = now
+			c.lastStateAnswer = now
 		}
 		c.checkRevision(&e)
 		c.loop.Complete(e)
@@ -150,7 +150,7 @@
 	if c.shuttingDown || !c.serves() || len(c.view.MachineTypes) == 0 || c.view.LeaseVersion == 0 {
 		return false
 	}
-	if c.reachable() {
+	if c.stateReachable() {
 		return true
 	}
 	// One that hears no other controller either is itself cut off: nobody is
@@ -188,12 +188,12 @@
 		c.stepRecovery()
 		return
 	}
-	c.loadTypes()
+	c.readMachineTypes()
 	if !c.loaded {
 		c.startUp()
 		return
 	}
-	c.watch()
+	c.watchState()
 	if c.incompatible != nil {
 		return
 	}
@@ -205,31 +205,31 @@
 	c.heartbeatPeers()
 	c.publishLevel()
 	c.owner.StorePending()
-	c.runVerify()
+	c.sendFreshnessCheck()
 	c.owner.CheckMachines()
 	c.owner.LogServiceReport()
 	c.runLeader()
 }
 
-// stoodStill is a gap between steps that says that the process did not run: time
+// maxStepGap is a gap between steps that says that the process did not run: time
 // alone brings one every fraction of a second.
-const stoodStill = time.Second
+const maxStepGap = time.Second
 
-// loadTypes reads the machine types, which validation needs, and refreshes
+// readMachineTypes reads the machine types, which validation needs, and refreshes
 // the leader's prices now and then.
-func (c *Core) loadTypes() {
+func (c *Core) readMachineTypes() {
 	every := 30 * time.Second
 	if len(c.view.MachineTypes) == 0 {
 		every = time.Second
 	} else if c.leader == nil {
 		return
 	}
-	if c.typesBusy || (!c.typesAt.IsZero() && c.loop.Now.Sub(c.typesAt) < every) {
+	if c.typesInFlight || (!c.typesRequestedAt.IsZero() && c.loop.Now.Sub(c.typesRequestedAt) < every) {
 		return
 	}
-	c.typesBusy, c.typesAt = true, c.loop.Now
+	c.typesInFlight, c.typesRequestedAt = true, c.loop.Now
 	c.loop.Emit(eventloop.CloudTypes{ID: c.loop.Call(func(d eventloop.Completion) {
-		c.typesBusy = false
+		c.typesInFlight = false
 		if d.Outcome != eventloop.Succeeded {
 			return
 		}
@@ -249,17 +249,17 @@
 	c.nextHeartbeatAt = c.loop.Now.Add(time.Second)
 	f := c.newFrame()
 	busy, _, size := c.owner.ProcessorUse()
-	c.spare = size - busy
-	f.SpareCpus = c.spare
+	c.spareCPUs = size - busy
+	f.SpareCpus = c.spareCPUs
 	f.Teams = c.owner.PublishedTeamUse()
-	c.room = c.owner.Capacity()
-	c.room.Size = size
-	f.FreeCpus, f.ImageCpus, f.SizeCpus = c.room.Free, c.room.Images, size
+	c.capacity = c.owner.Capacity()
+	c.capacity.Size = size
+	f.FreeCpus, f.ImageCpus, f.SizeCpus = c.capacity.Free, c.capacity.Images, size
 	f.FreeSlots = c.owner.FreeSlots()
 	f.Progress = c.owner.ChangedCounts()
 	f.NoHeartbeats = c.owner.NoHeartbeats()
 	f.ForeignWorkers = c.owner.ForeignWorkersByHolder()
-	c.askAll(f)
+	c.addFreshnessRequest(f)
 	for _, name := range cluster.SortedKeys(c.view.Peers) {
 		c.loop.Emit(eventloop.PeerSend{To: name, Frame: f})
 	}
@@ -267,7 +267,7 @@
 
 // newFrame is the beginning of every message to another controller.
 func (c *Core) newFrame() *peerpb.Frame {
-	f := &peerpb.Frame{From: c.view.Self, Incarnation: c.blockLease.Incarnation(), StateOk: c.reachable(),
+	f := &peerpb.Frame{From: c.view.Self, Incarnation: c.blockLease.Incarnation(), StateOk: c.stateReachable(),
 		LeaseForm: leasevalue.FormPages}
 	c.addGeneration(f)
 	if c.view.Params.Levels.KnowsLevels() {
@@ -277,9 +277,9 @@
 	return f
 }
 
-// missedNews is after what silence another controller may have missed a frame, of
+// missedFrameAfter is after what silence another controller may have missed a frame, of
 // those that go out every second.
-const missedNews = 1500 * time.Millisecond
+const missedFrameAfter = 1500 * time.Millisecond
 
 func (c *Core) handlePeerFrame(f *peerpb.Frame) {
 	p := c.view.Peers[f.GetFrom()]
@@ -295,7 +295,7 @@
 		c.loop.Emit(eventloop.PeerSend{To: f.GetFrom(), Frame: c.newFrame()})
 		return
 	}
-	if f.GetIncarnation() != p.Incarnation || c.loop.Now.Sub(p.LastFrame) > missedNews {
+	if f.GetIncarnation() != p.Incarnation || c.loop.Now.Sub(p.LastFrame) > missedFrameAfter {
 		c.owner.ResendCounts()
 	}
 	p.Incarnation, p.SeenLevel = f.GetIncarnation(), feature.Level(f.GetSeenLevel())
@@ -316,7 +316,7 @@
 		p.NoHeartbeats, p.ForeignWorkers = f.GetNoHeartbeats(), int(f.GetForeignWorkers()[c.view.Self])
 	}
 	p.UpdateTeamUse(f.GetTeams())
-	c.answered(p, f)
+	c.handleFreshnessReplies(p, f)
 	for _, g := range f.GetProgress() {
 		if j := c.owner.Job(g.GetId()); j != nil {
 			j.ApplyReportedCounts(int(g.GetDone()), int(g.GetRunning()))
--- a/internal/core/controller/controller_test.go
+++ b/internal/core/controller/controller_test.go
@@ -29,7 +29,7 @@
 	c.loop.Begin(now)
 	c.loaded = true
 	c.owner.ChangesKnown(5, now)
-	c.stateOK = now
+	c.lastStateAnswer = now
 	c.view.MachineTypes["s4"] = wire.MachineType{Name: "s4", CPUs: 4, MemoryGB: 16, CacheGB: 20, FetchGBPS: 1, Price: 1, SpotPrice: 0.3, BootS: 6, Zones: []string{"x", "y"}}
 	c.applyLease(rec, 5)
 	return c, now
@@ -41,7 +41,7 @@
 func TestOutageIsNotTakenForRefusal(t *testing.T) {
 	c, start := newCore(t, []config.Team{{Name: "free"}}, wire.LeaseRecord{Term: 3, Leader: "n1",
 		Blocks: map[string]wire.Block{"n0": {Grant: 1 << 18, Incarnation: 7}}, Partitions: map[string]string{"free": "n0"}})
-	c.stateOK = start
+	c.lastStateAnswer = start
 	for ms := 500; ms <= 16000; ms += 500 {
 		c.Step(start.Add(time.Duration(ms)*time.Millisecond), eventloop.PeerFrame{Frame: &peerpb.Frame{From: "n1", StateOk: ms < 4000 || ms > 10000}})
 		if got, want := c.isolatedFromState(), ms > 10000+int(peerReachableFor.Milliseconds())+500; got != want {
@@ -77,8 +77,8 @@
 		{"urgent, even blocks, one has the image", cluster.Capacity{Free: 50, Size: 300},
 			cluster.Capacity{Free: 50, Size: 300, Images: map[string]float64{"a": 40}}, 50, 50, "urgent", "a", "free #2"},
 	} {
-		core.room, core.spare, p.Capacity, p.SpareCPUs = c.own, c.ownSpare, c.other, c.spare
-		if got := core.fileUnder(job(c.priority, c.image)); got != c.want {
+		core.capacity, core.spareCPUs, p.Capacity, p.SpareCPUs = c.own, c.ownSpare, c.other, c.spare
+		if got := core.chooseShard(job(c.priority, c.image)); got != c.want {
 			t.Errorf("%s: filed under %s, want %s", c.name, got, c.want)
 		}
 	}
@@ -174,7 +174,7 @@
 			}
 			core, now := newCore(t, teams, wire.LeaseRecord{Term: 3, Leader: "n1", Blocks: map[string]wire.Block{"n0": {Grant: 1 << 18, Incarnation: 7}}})
 			if what == "says so to one that just woke" {
-				core.wokeAt = now // the state may have lost the job meanwhile
+				core.resumedAt = now // the state may have lost the job meanwhile
 			}
 			got := eventloop.NoReply
 			// Without an answer it is asked again until its user waits no longer.
--- a/internal/core/controller/homes.go
+++ b/internal/core/controller/homes.go
@@ -19,23 +19,23 @@
 // Machines follow the work, and work that went only where room is would follow
 // the machines: in a quiet night one controller came to hold thirteen times as
 // many as another. So what a block has beyond the mean counts against it:
-// evenSpare of its processors, and evenWorth for each time the mean.
+// excessSizePenalty of its processors, and excessRatePenalty for each time the mean.
 const (
-	evenSpare = 0.7
-	evenWorth = 0.3
+	excessSizePenalty = 0.7
+	excessRatePenalty = 0.3
 )
 
-// fileUnder chooses the part of its team that a new job goes to: for urgent
+// chooseShard chooses the part of its team that a new job goes to: for urgent
 // work where most of it can start at once, otherwise, and among equals, that of
 // the controller with most processors to spare; both less what its block has
 // beyond the mean. It returns "" when the team has one home.
-func (c *Core) fileUnder(j *wire.Job) string {
+func (c *Core) chooseShard(j *wire.Job) string {
 	best, bestWorth, bestSpare := "", 0.0, 0.0
 	own := cluster.Shards(c.view.Lease.Partitions, j.Team)
-	mean := c.meanSize(own)
+	mean := c.meanBlockSize(own)
 	for _, part := range own {
 		node := c.view.Lease.Partitions[part]
-		spare, r := c.spare, &c.room
+		spare, r := c.spareCPUs, &c.capacity
 		if node != c.view.Self {
 			if !c.view.IsReachable(node, c.loop.Now) {
 				continue
@@ -43,10 +43,10 @@
 			spare, r = c.view.Peers[node].SpareCPUs, &c.view.Peers[node].Capacity
 		}
 		more := r.Size - mean
-		spare -= evenSpare * more
+		spare -= excessSizePenalty * more
 		worth := 0.0
 		if j.Rank() <= 1 {
-			worth = r.RateFor(j) - evenWorth*more/max(1, mean)
+			worth = r.RateFor(j) - excessRatePenalty*more/max(1, mean)
 		}
 		if best == "" || worth > bestWorth+0.05 || (worth > bestWorth-0.05 && spare > bestSpare) {
 			best, bestWorth, bestSpare = part, worth, spare
@@ -55,8 +55,8 @@
 	// Until the controller tells its new figures the job counts against them.
 	if cpus := float64(j.Tasks) * j.CPUs; best == "" {
 	} else if node := c.view.Lease.Partitions[best]; node == c.view.Self {
-		c.spare -= cpus
-		c.room.Reserve(j)
+		c.spareCPUs -= cpus
+		c.capacity.Reserve(j)
 	} else {
 		c.view.Peers[node].SpareCPUs -= cpus
 		c.view.Peers[node].Capacity.Reserve(j)
@@ -64,9 +64,9 @@
 	return best
 }
 
-// meanSize is the mean size, in processors, of the blocks of those that the
+// meanBlockSize is the mean size, in processors, of the blocks of those that the
 // parts are with and that can be reached.
-func (c *Core) meanSize(own []string) float64 {
+func (c *Core) meanBlockSize(own []string) float64 {
 	seen := map[string]bool{}
 	sum := 0.0
 	for _, part := range own {
@@ -75,7 +75,7 @@
 		case seen[node]:
 		case node == c.view.Self:
 			seen[node] = true
-			sum += c.room.Size
+			sum += c.capacity.Size
 		case c.view.IsReachable(node, c.loop.Now):
 			seen[node] = true
 			sum += c.view.Peers[node].Capacity.Size
--- a/internal/core/controller/jobs.go
+++ b/internal/core/controller/jobs.go
@@ -24,39 +24,39 @@
 	endPrefix     = root + "t/"
 	renewalPrefix = root + "r/"
 	leaseKey      = leasevalue.Key
-	// endedMost bounds the memory for jobs that are over.
-	endedMost = 20000
+	// maxEndedJobs bounds the memory for jobs that are over.
+	maxEndedJobs = 20000
 )
 
 // ---- reading everything at the start, and watching it afterwards
 
-// load reads all jobs that are not over, page by page, then the lease value.
-func (c *Core) load() {
+// readState reads all jobs that are not over, page by page, then the lease value.
+func (c *Core) readState() {
 	if c.loading || c.loop.Now.Before(c.retryAt) {
 		return
 	}
 	c.loading = true
 	c.readGeneration(func(outcome eventloop.Outcome) {
 		if (outcome != eventloop.Succeeded && outcome != eventloop.NotFound) || c.stateUnsettled() {
-			c.loadFailed("generation", outcome)
+			c.readFailed("generation", outcome)
 			return
 		}
-		c.loadPage(c.loop.Now, "", 0, map[string]bool{})
+		c.readJobs(c.loop.Now, "", 0, map[string]bool{})
 	})
 }
 
-func (c *Core) loadFailed(what string, outcome eventloop.Outcome) {
+func (c *Core) readFailed(what string, outcome eventloop.Outcome) {
 	c.log.Info("state service does not answer", "reading", what, "outcome", outcome)
 	c.loading = false
 	c.retryAt = c.loop.Now.Add(500 * time.Millisecond)
 }
 
-// loadPage reads a page of jobs and those behind it. asked is when the first one
+// readJobs reads a page of jobs and those behind it. asked is when the first one
 // was asked for: what has changed since may be on a page that was read before.
-func (c *Core) loadPage(asked time.Time, after string, rev uint64, seen map[string]bool) {
+func (c *Core) readJobs(asked time.Time, after string, rev uint64, seen map[string]bool) {
 	c.loop.Emit(eventloop.StateRange{Prefix: jobPrefix, After: after, ID: c.loop.Call(func(d eventloop.Completion) {
 		if d.Outcome != eventloop.Succeeded {
-			c.loadFailed("jobs", d.Outcome)
+			c.readFailed("jobs", d.Outcome)
 			return
 		}
 		// Changes made while the pages are read come again with the watch,
@@ -70,7 +70,7 @@
 			after = p.Key
 		}
 		if d.Page.More && len(d.Page.Pairs) > 0 {
-			c.loadPage(asked, after, rev, seen)
+			c.readJobs(asked, after, rev, seen)
 			return
 		}
 		for id, j := range c.owner.Jobs() {
@@ -78,19 +78,19 @@
 				c.owner.EndJob(j)
 			}
 		}
-		c.fetchLease(func(outcome eventloop.Outcome) {
+		c.readLease(func(outcome eventloop.Outcome) {
 			if outcome != eventloop.Succeeded && outcome != eventloop.NotFound {
-				c.loadFailed("leases", outcome)
+				c.readFailed("leases", outcome)
 				return
 			}
 			if c.stateUnsettled() {
-				c.loadFailed("generation", outcome)
+				c.readFailed("generation", outcome)
 				return
 			}
 			c.loading, c.loaded, c.previousState = false, true, recovery.KnownState{}
-			c.rev = rev
+			c.revision = rev
 			c.owner.ChangesKnown(rev, asked)
-			c.cancelled = max(c.cancelled, rev, 1) // an earlier process may have told of any
+			c.cancelledRevision = max(c.cancelledRevision, rev, 1) // an earlier process may have told of any
 			c.leaderSeenAt = c.loop.Now
 			if b, ok := c.view.Lease.Blocks[c.view.Self]; ok && b.Incarnation >= c.blockLease.Incarnation() && !c.blockLease.Held() {
 				c.blockLease.RaiseIncarnation(b.Incarnation)
@@ -100,23 +100,23 @@
 			}
 			c.nextRenewalAt = c.loop.Now
 			c.log.Info("state read", "jobs", len(c.owner.Jobs()), "revision", rev)
-			c.watch()
+			c.watchState()
 			c.campaign()
 			c.renewBlockLease()
 		})
 	})})
 }
 
-// watch keeps one watch open over everything below root.
-func (c *Core) watch() {
+// watchState keeps one watch open over everything below root.
+func (c *Core) watchState() {
 	if c.watching || c.loop.Now.Before(c.watchAt) {
 		return
 	}
 	c.watching = true
 	sent := c.loop.Now
 	// Many changes in a row are read together, to save requests.
-	pause := time.Duration(float64(time.Second) / max(1, 0.4*c.view.Settings.Cluster.State.RPS/float64(c.nodes())))
-	c.loop.Emit(eventloop.StateWatch{Prefix: root, After: c.rev, Hold: cluster.WatchHold, ID: c.loop.Call(func(d eventloop.Completion) {
+	pause := time.Duration(float64(time.Second) / max(1, 0.4*c.view.Settings.Cluster.State.RPS/float64(c.controllerCount())))
+	c.loop.Emit(eventloop.StateWatch{Prefix: root, After: c.revision, Hold: cluster.WatchHold, ID: c.loop.Call(func(d eventloop.Completion) {
 		c.watching = false
 		c.watchAt = sent.Add(pause)
 		switch d.Outcome {
@@ -128,20 +128,20 @@
 					c.applyDelete(e.Delete, e.Version)
 				}
 			}
-			c.rev = max(c.rev, d.Changes.Revision)
-			c.owner.ChangesKnown(c.rev, sent)
-			c.watch()
+			c.revision = max(c.revision, d.Changes.Revision)
+			c.owner.ChangesKnown(c.revision, sent)
+			c.watchState()
 		case eventloop.Compacted:
 			c.log.Info("watch too old, reading again")
 			c.loaded = false
-			c.load()
+			c.readState()
 		default:
 			c.watchAt = c.loop.Now.Add(200 * time.Millisecond)
 		}
 	})})
 }
 
-func (c *Core) nodes() int { return c.view.Settings.Controllers() }
+func (c *Core) controllerCount() int { return c.view.Settings.Controllers() }
 
 // applyPut takes a changed key into the picture.
 func (c *Core) applyPut(key string, value []byte, version uint64) {
@@ -156,7 +156,7 @@
 			c.applyLeaseValue(*c.incompleteLease)
 		}
 	case strings.HasPrefix(key, jobPrefix):
-		env, rec, err := c.openJob(key, value)
+		env, rec, err := c.decodeJob(key, value)
 		if err != nil {
 			c.log.Error("job record", "key", key, "err", err)
 			return
@@ -192,8 +192,8 @@
 	}
 }
 
-// openJob reads a job's record, in its envelope or as earlier versions store it.
-func (c *Core) openJob(key string, value []byte) (env wire.Envelope, rec wire.JobRecord, err error) {
+// decodeJob reads a job's record, in its envelope or as earlier versions store it.
+func (c *Core) decodeJob(key string, value []byte) (env wire.Envelope, rec wire.JobRecord, err error) {
 	if env, err = c.view.Unwrap(key, value); err != nil {
 		return env, rec, err
 	}
@@ -218,7 +218,7 @@
 // applyEnd notes that a job is over. An end is final.
 func (c *Core) applyEnd(id string, rec wire.EndRecord, version uint64) {
 	if rec.State == wire.Cancelled {
-		c.cancelled = max(c.cancelled, version)
+		c.cancelledRevision = max(c.cancelledRevision, version)
 	}
 	if c.recovery != nil {
 		// Decided on what is left of the state, by a record that may have been over
@@ -228,7 +228,7 @@
 	if _, ok := c.ended[id]; !ok {
 		c.ended[id] = rec
 		c.endedOrder = append(c.endedOrder, id)
-		if len(c.endedOrder) > endedMost {
+		if len(c.endedOrder) > maxEndedJobs {
 			delete(c.ended, c.endedOrder[0])
 			c.endedOrder = c.endedOrder[1:]
 		}
@@ -249,7 +249,9 @@
 
 // UserWrites tells how many submissions are being stored, and when one last found no
 // room in the write limit.
-func (c *Core) UserWrites() (pending int, short time.Time) { return c.userWrites, c.usersShort }
+func (c *Core) UserWrites() (pending int, short time.Time) {
+	return c.userWrites, c.userWritesThrottledAt
+}
 
 // StoreEnd decides a job's end by a compare on the version of its record, so
 // that of a completion and a cancellation exactly one wins. then is told
@@ -323,7 +325,7 @@
 				c.applyPut(jobPrefix+id, d.Pair.Value, d.Pair.Version)
 				then(true)
 			case eventloop.NotFound:
-				c.missing(id, known, then)
+				c.confirmMissing(id, known, then)
 			default:
 				then(false)
 			}
@@ -331,9 +333,9 @@
 	})})
 }
 
-// reread is refresh after a transaction that failed by these keys. A record that has
+// refreshAfterConflict is refresh after a transaction that failed by these keys. A record that has
 // come, where none was known, needs no reading of its end first.
-func (c *Core) reread(id string, failed []string, then func(ok bool)) {
+func (c *Core) refreshAfterConflict(id string, failed []string, then func(ok bool)) {
 	if c.owner.Job(id) != nil || !slices.Contains(failed, jobPrefix+id) {
 		c.refresh(id, then)
 		return
@@ -351,11 +353,11 @@
 	})})
 }
 
-// missing reads a job's end once more whose record was not there. A record goes in
+// confirmMissing reads a job's end once more whose record was not there. A record goes in
 // the same transaction in which the end comes: if neither is there, the state has
 // lost data. known says that the job was known when its record was asked for: one that
 // has come since, by a submission that was carried out late, proves nothing.
-func (c *Core) missing(id string, known bool, then func(ok bool)) {
+func (c *Core) confirmMissing(id string, known bool, then func(ok bool)) {
 	j := c.owner.Job(id)
 	c.loop.Emit(eventloop.StateGet{Key: endPrefix + id, ID: c.loop.Call(func(d eventloop.Completion) {
 		switch {
@@ -385,7 +387,7 @@
 	return wire.JobAnswer{ID: id, State: e.State, Done: e.Done}
 }
 
-// verifier checks what this controller knows of jobs against the state
+// freshnessChecker checks what this controller knows of jobs against the state
 // service before anybody is told: the questions that have come up since the last
 // check go into the next one, as conditions of a transaction that changes nothing.
 // That way no answer is older than another controller's. A check does not wait for
@@ -395,141 +397,141 @@
 // Submissions and cancellations go first, then polls for jobs that are known
 // here, then those for ids that may be anybody's guess. What could not be
 // answered before its user has given up is refused at once instead.
-type verifier struct {
-	next time.Time // not before then, to keep within the request limit
-	// again holds the questions of checks that got no answer, or failed by another
+type freshnessChecker struct {
+	nextCheckAt time.Time // not before then, to keep within the request limit
+	// retries holds the questions of checks that got no answer, or failed by another
 	// job. They go out by themselves: among new ones they would fail time and again
 	// by what these ask about.
-	again []question
-	turn  bool // the last check was of those
-	queue [ranks][]question
+	retries      []freshnessQuery
+	lastWasRetry bool // the last check was of those
+	queues       [priorities][]freshnessQuery
 }
 
 // The ranks of questions, in the order in which they are answered.
 const (
-	changes = iota
-	pollsKnown
-	pollsUnknown
-	ranks
+	priorityChange = iota
+	priorityKnownJob
+	priorityUnknownJob
+	priorities
 )
 
 // How long a question may wait for an answer of the state service: users wait 2 s for
 // an answer to a poll, 5 s for others.
 const (
-	pollPatience   = 1500 * time.Millisecond
-	changePatience = 3 * time.Second
+	queryTimeout  = 1500 * time.Millisecond
+	changeTimeout = 3 * time.Second
 )
 
-// verifyEvery spaces the checks, to keep to a part of the request limit.
-func (c *Core) verifyEvery() time.Duration {
-	return time.Duration(float64(time.Second) / max(1, 0.25*c.view.Settings.Cluster.State.RPS/float64(c.nodes())))
+// freshnessInterval spaces the checks, to keep to a part of the request limit.
+func (c *Core) freshnessInterval() time.Duration {
+	return time.Duration(float64(time.Second) / max(1, 0.25*c.view.Settings.Cluster.State.RPS/float64(c.controllerCount())))
 }
 
-// verifyMost is how many questions go into a check: two conditions a question and one
+// maxFreshnessBatch is how many questions go into a check: two conditions a question and one
 // for the generation, four times txn_ops conditions at most.
-func (c *Core) verifyMost() int { return max(1, 2*c.view.Settings.Cluster.State.TxnOps-1) }
+func (c *Core) maxFreshnessBatch() int { return max(1, 2*c.view.Settings.Cluster.State.TxnOps-1) }
 
-// reachable tells whether the state service answers: its watch does so every two
+// stateReachable tells whether the state service answers: its watch does so every two
 // seconds if nothing else does. Where it does not, users are told so at once.
-func (c *Core) reachable() bool { return c.loop.Now.Sub(c.stateOK) < stateSilent }
+func (c *Core) stateReachable() bool { return c.loop.Now.Sub(c.lastStateAnswer) < stateTimeout }
 
-// stateSilent is after what silence the state service counts as out of reach.
-const stateSilent = 4 * time.Second
+// stateTimeout is after what silence the state service counts as out of reach.
+const stateTimeout = 4 * time.Second
 
-type question struct {
-	id    string
-	until time.Time // no answer helps after that
-	// then gets the job, or its end, or neither when it does not exist; ok
+type freshnessQuery struct {
+	id       string
+	deadline time.Time // no answer helps after that
+	// answer gets the job, or its end, or neither when it does not exist; ok
 	// is false when the state service did not say.
-	then func(j *owner.Job, end *wire.EndRecord, ok bool)
+	answer func(j *owner.Job, end *wire.EndRecord, ok bool)
 }
 
-// ask answers a question about a job from what is surely current. poll says that
+// checkFreshness answers a question about a job from what is surely current. poll says that
 // the question may be put again.
-func (c *Core) ask(id string, poll bool, then func(j *owner.Job, end *wire.EndRecord, ok bool)) {
+func (c *Core) checkFreshness(id string, poll bool, then func(j *owner.Job, end *wire.EndRecord, ok bool)) {
 	if e, ok := c.ended[id]; ok {
 		then(nil, &e, true) // an end is final
 		return
 	}
-	rank, patience := changes, changePatience
+	rank, patience := priorityChange, changeTimeout
 	if poll {
-		if rank = pollsUnknown; c.owner.Job(id) != nil {
-			rank = pollsKnown
+		if rank = priorityUnknownJob; c.owner.Job(id) != nil {
+			rank = priorityKnownJob
 		}
-		patience = pollPatience
+		patience = queryTimeout
 	}
-	ahead := len(c.verify.again)
+	ahead := len(c.freshness.retries)
 	for r := range rank + 1 {
-		ahead += len(c.verify.queue[r])
+		ahead += len(c.freshness.queues[r])
 	}
-	if !c.reachable() || ahead >= int(pollPatience/c.verifyEvery())*c.verifyMost() {
+	if !c.stateReachable() || ahead >= int(queryTimeout/c.freshnessInterval())*c.maxFreshnessBatch() {
 		then(nil, nil, false)
 		return
 	}
-	c.verify.queue[rank] = append(c.verify.queue[rank], question{id, c.loop.Now.Add(patience), then})
-	c.runVerify()
+	c.freshness.queues[rank] = append(c.freshness.queues[rank], freshnessQuery{id, c.loop.Now.Add(patience), then})
+	c.sendFreshnessCheck()
 }
 
-// take returns the questions of the next check.
-func (v *verifier) take(most int) (batch []question) {
-	if len(v.again) > 0 && !v.turn {
-		n := min(len(v.again), most)
-		batch, v.again, v.turn = v.again[:n:n], v.again[n:], true
+// nextBatch returns the questions of the next check.
+func (v *freshnessChecker) nextBatch(most int) (batch []freshnessQuery) {
+	if len(v.retries) > 0 && !v.lastWasRetry {
+		n := min(len(v.retries), most)
+		batch, v.retries, v.lastWasRetry = v.retries[:n:n], v.retries[n:], true
 		return batch
 	}
-	for r, queue := range v.queue {
+	for r, queue := range v.queues {
 		n := min(len(queue), most-len(batch))
 		batch = append(batch, queue[:n]...)
-		v.queue[r] = slices.Clone(queue[n:])
+		v.queues[r] = slices.Clone(queue[n:])
 	}
-	if v.turn = false; len(batch) == 0 && len(v.again) > 0 {
-		return v.take(most)
+	if v.lastWasRetry = false; len(batch) == 0 && len(v.retries) > 0 {
+		return v.nextBatch(most)
 	}
 	return batch
 }
 
-// repeat asks a question again, or gives it up when no answer helps any more.
-func (c *Core) repeat(q question) {
-	if c.loop.Now.Before(q.until) && c.reachable() {
-		c.verify.again = append(c.verify.again, q)
+// retryOrFail asks a question again, or gives it up when no answer helps any more.
+func (c *Core) retryOrFail(q freshnessQuery) {
+	if c.loop.Now.Before(q.deadline) && c.stateReachable() {
+		c.freshness.retries = append(c.freshness.retries, q)
 	} else {
-		q.then(nil, nil, false)
+		q.answer(nil, nil, false)
 	}
 }
 
-// tell answers a question after the state service has been asked. current says that
+// answerQuery answers a question after the state service has been asked. current says that
 // what is known here of a job that is not over is not older than the question, none
 // that there was no such job by then; it may have come since.
-func (c *Core) tell(q question, current, none bool) {
+func (c *Core) answerQuery(q freshnessQuery, current, none bool) {
 	if e, over := c.ended[q.id]; over {
-		q.then(nil, &e, true)
+		q.answer(nil, &e, true)
 	} else if j := c.owner.Job(q.id); current && j != nil && !j.Ended {
-		q.then(j, nil, true)
+		q.answer(j, nil, true)
 	} else {
-		q.then(nil, nil, none)
+		q.answer(nil, nil, none)
 	}
 }
 
-// runVerify sends the next check.
-func (c *Core) runVerify() {
-	if c.loop.Now.Before(c.verify.next) {
+// sendFreshnessCheck sends the next check.
+func (c *Core) sendFreshnessCheck() {
+	if c.loop.Now.Before(c.freshness.nextCheckAt) {
 		return
 	}
-	batch := c.verify.take(c.verifyMost())
+	batch := c.freshness.nextBatch(c.maxFreshnessBatch())
 	if len(batch) == 0 {
 		return
 	}
-	c.verify.next = c.loop.Now.Add(c.verifyEvery())
-	conds, known := c.conditions(batch)
+	c.freshness.nextCheckAt = c.loop.Now.Add(c.freshnessInterval())
+	conds, known := c.freshnessConditions(batch)
 	c.loop.Emit(eventloop.StateTxn{Txn: wire.Txn{If: conds}, ID: c.loop.Call(func(d eventloop.Completion) {
-		c.checked(batch, known, &d)
-		c.runVerify()
+		c.handleFreshnessCheck(batch, known, &d)
+		c.sendFreshnessCheck()
 	})})
 }
 
-// conditions says what is known here of the jobs that are asked about, and which of
+// freshnessConditions says what is known here of the jobs that are asked about, and which of
 // them are known.
-func (c *Core) conditions(batch []question) (conds []wire.Condition, known map[string]bool) {
+func (c *Core) freshnessConditions(batch []freshnessQuery) (conds []wire.Condition, known map[string]bool) {
 	conds, known = make([]wire.Condition, 0, 2*len(batch)+1), make(map[string]bool, len(batch))
 	// The generation is part of the compare: one who was cut off while the state lost
 	// data need not see it by the revision, which has gone on since from below.
@@ -550,8 +552,8 @@
 	return conds, known
 }
 
-// checked answers the questions of a check.
-func (c *Core) checked(batch []question, known map[string]bool, d *eventloop.Completion) {
+// handleFreshnessCheck answers the questions of a check.
+func (c *Core) handleFreshnessCheck(batch []freshnessQuery, known map[string]bool, d *eventloop.Completion) {
 	failed := map[string]bool{}
 	if d.Outcome == eventloop.Conflict {
 		if slices.Contains(d.Txn.Failed, generationKey) {
@@ -564,37 +566,37 @@
 			}
 		}
 	}
-	changed := map[string][]question{} // by job
+	changed := map[string][]freshnessQuery{} // by job
 	for _, q := range batch {
 		switch {
 		case d.Outcome == eventloop.NoAnswer:
-			c.repeat(q)
+			c.retryOrFail(q)
 		case d.Outcome != eventloop.Succeeded && d.Outcome != eventloop.Conflict:
-			q.then(nil, nil, false)
+			q.answer(nil, nil, false)
 		case failed[q.id]:
 			if changed[q.id] = append(changed[q.id], q); len(changed[q.id]) > 1 {
 				continue // one reading serves all who ask about it
 			}
-			c.reread(q.id, d.Txn.Failed, func(ok bool) {
+			c.refreshAfterConflict(q.id, d.Txn.Failed, func(ok bool) {
 				for _, q := range changed[q.id] {
-					c.tell(q, ok, false)
+					c.answerQuery(q, ok, false)
 				}
 			})
 		case d.Outcome == eventloop.Conflict:
 			// Only what failed is sure to be listed; the rest is asked again.
-			c.repeat(q)
+			c.retryOrFail(q)
 		default:
-			c.tell(q, true, !known[q.id])
+			c.answerQuery(q, true, !known[q.id])
 		}
 	}
 }
 
-// mayAsk tells whether a question about an id can be looked into here, and answers
+// acceptsLookup tells whether a question about an id can be looked into here, and answers
 // it if not.
-func (c *Core) mayAsk(req uint64, id string) bool {
+func (c *Core) acceptsLookup(req uint64, id string) bool {
 	switch {
 	case !wire.ValidJobID(id):
-		c.notFound(req, true)
+		c.replyNotFound(req, true)
 	case !c.serves():
 		c.loop.Unavailable(req)
 	default:
@@ -603,18 +605,20 @@
 	return false
 }
 
-// wokeFor is how long after a standstill, or a time without the state service, nothing
+// resumeSettleTime is how long after a standstill, or a time without the state service, nothing
 // is sure to be unknown: the others have told by then what they have seen meanwhile,
 // should the state have lost it.
-const wokeFor = 1500 * time.Millisecond
+const resumeSettleTime = 1500 * time.Millisecond
 
-// sure tells whether a job that the state service does not have was never accepted.
-func (c *Core) sure() bool { return c.recovery == nil && c.loop.Now.Sub(c.wokeAt) >= wokeFor }
+// knowsAllJobs tells whether a job that the state service does not have was never accepted.
+func (c *Core) knowsAllJobs() bool {
+	return c.recovery == nil && c.loop.Now.Sub(c.resumedAt) >= resumeSettleTime
+}
 
-// notFound answers a question about a job that is not known: 404 when it is sure
+// replyNotFound answers a question about a job that is not known: 404 when it is sure
 // that there is none, or to come back.
-func (c *Core) notFound(req uint64, none bool) {
-	if none && c.sure() {
+func (c *Core) replyNotFound(req uint64, none bool) {
+	if none && c.knowsAllJobs() {
 		c.loop.Reply(req, eventloop.ReplyNotFound, wire.ErrorAnswer{Error: "no such job"})
 	} else {
 		c.loop.Unavailable(req)
@@ -622,21 +626,21 @@
 }
 
 func (c *Core) handleQuery(e eventloop.QueryRequest) {
-	if !c.mayAsk(e.Req, e.ID) {
+	if !c.acceptsLookup(e.Req, e.ID) {
 		return
 	}
-	c.ask(e.ID, true, func(j *owner.Job, end *wire.EndRecord, ok bool) {
-		if !c.known(e.Req, e.ID, j, end) {
-			c.notFound(e.Req, ok)
+	c.checkFreshness(e.ID, true, func(j *owner.Job, end *wire.EndRecord, ok bool) {
+		if !c.replyJob(e.Req, e.ID, j, end) {
+			c.replyNotFound(e.Req, ok)
 		}
 	})
 }
 
 func (c *Core) handleCancel(e eventloop.CancelRequest) {
-	if !c.mayAsk(e.Req, e.ID) {
+	if !c.acceptsLookup(e.Req, e.ID) {
 		return
 	}
-	c.ask(e.ID, false, func(j *owner.Job, end *wire.EndRecord, ok bool) {
+	c.checkFreshness(e.ID, false, func(j *owner.Job, end *wire.EndRecord, ok bool) {
 		switch {
 		case end != nil:
 			c.loop.Reply(e.Req, eventloop.ReplyOK, endAnswer(e.ID, *end))
@@ -649,7 +653,7 @@
 				}
 			})
 		default:
-			c.notFound(e.Req, ok)
+			c.replyNotFound(e.Req, ok)
 		}
 	})
 }
@@ -684,9 +688,9 @@
 	return eventloop.NoReply, ""
 }
 
-// known answers a question about a job that is there, or over. It returns
+// replyJob answers a question about a job that is there, or over. It returns
 // false when there is neither.
-func (c *Core) known(req uint64, id string, j *owner.Job, end *wire.EndRecord) bool {
+func (c *Core) replyJob(req uint64, id string, j *owner.Job, end *wire.EndRecord) bool {
 	switch {
 	case end != nil:
 		c.loop.Reply(req, eventloop.ReplyOK, endAnswer(id, *end))
@@ -713,29 +717,29 @@
 		code, why = c.refusal(&e.Job)
 	}
 	if code != eventloop.NoReply || c.owner.Job(id) != nil || c.HasEnded(id) {
-		c.refuse(e.Req, id, code, why)
+		c.rejectSubmission(e.Req, id, code, why)
 		return
 	}
-	if !c.reachable() {
+	if !c.stateReachable() {
 		c.loop.Unavailable(e.Req)
 		return
 	}
-	rec := wire.JobRecord{Job: e.Job, Shard: c.fileUnder(&e.Job), SubmittedAtMs: c.loop.Now.UnixMilli()}
-	rec.Owner = c.homeOf(rec.Team)
+	rec := wire.JobRecord{Job: e.Job, Shard: c.chooseShard(&e.Job), SubmittedAtMs: c.loop.Now.UnixMilli()}
+	rec.Owner = c.partitionOwner(rec.Team)
 	if rec.Shard != "" {
-		rec.Owner = c.homeOf(rec.Shard)
+		rec.Owner = c.partitionOwner(rec.Shard)
 	}
-	c.store(e.Req, rec, c.view.FeatureOpen(feature.Envelope))
+	c.storeJob(e.Req, rec, c.view.FeatureOpen(feature.Envelope))
 }
 
-// refuse answers a submission that is not to be stored. A known job is answered as it
+// rejectSubmission answers a submission that is not to be stored. A known job is answered as it
 // stands, whatever the body says; the code, if it is one that ends the user's tries,
 // is told only once it is sure that the job was never accepted.
-func (c *Core) refuse(req uint64, id string, code eventloop.ReplyCode, why string) {
-	c.ask(id, false, func(j *owner.Job, end *wire.EndRecord, ok bool) {
+func (c *Core) rejectSubmission(req uint64, id string, code eventloop.ReplyCode, why string) {
+	c.checkFreshness(id, false, func(j *owner.Job, end *wire.EndRecord, ok bool) {
 		switch {
-		case c.known(req, id, j, end):
-		case !ok || !c.sure() || code == eventloop.ReplyUnavailable || code == eventloop.NoReply:
+		case c.replyJob(req, id, j, end):
+		case !ok || !c.knowsAllJobs() || code == eventloop.ReplyUnavailable || code == eventloop.NoReply:
 			c.loop.Unavailable(req)
 		default:
 			c.loop.Reply(req, code, wire.ErrorAnswer{Error: why})
@@ -743,8 +747,8 @@
 	})
 }
 
-// store stores the record of a new job and answers its user.
-func (c *Core) store(req uint64, rec wire.JobRecord, wrapped bool) {
+// storeJob stores the record of a new job and answers its user.
+func (c *Core) storeJob(req uint64, rec wire.JobRecord, wrapped bool) {
 	id, form := rec.ID, 0
 	var value any = rec
 	if wrapped {
@@ -766,7 +770,7 @@
 		ID: c.loop.Call(func(d eventloop.Completion) {
 			c.userWrites--
 			if d.Outcome != eventloop.Succeeded && d.Outcome != eventloop.Conflict && d.Outcome != eventloop.NoAnswer {
-				c.usersShort = c.loop.Now
+				c.userWritesThrottledAt = c.loop.Now
 			}
 			switch d.Outcome {
 			case eventloop.Succeeded:
@@ -779,22 +783,22 @@
 				c.log.Debug("accepted", "job", id, "class", rec.Class, "tasks", rec.Tasks, "image", rec.Image, "owner", rec.Owner)
 				c.loop.Reply(req, eventloop.ReplyCreated, wire.JobAnswer{ID: id, State: wire.Pending})
 			case eventloop.Conflict, eventloop.NoAnswer: // it is known already, or perhaps stored and only the answer lost
-				c.reread(id, d.Txn.Failed, func(ok bool) {
+				c.refreshAfterConflict(id, d.Txn.Failed, func(ok bool) {
 					if d.Outcome == eventloop.NoAnswer && (c.HasEnded(id) || (ok && c.owner.Job(id) != nil)) {
 						c.owner.Served.Accepted(&rec.Job)
 					}
 					if end, over := c.ended[id]; over {
-						c.known(req, id, nil, &end)
-					} else if j := c.owner.Job(id); !ok || j == nil || j.Ended || !c.known(req, id, j, nil) {
+						c.replyJob(req, id, nil, &end)
+					} else if j := c.owner.Job(id); !ok || j == nil || j.Ended || !c.replyJob(req, id, j, nil) {
 						c.loop.Unavailable(req)
 					}
 				})
 			case eventloop.Rejected:
 				if wrapped { // perhaps only the envelope is too much
-					c.store(req, rec, false)
+					c.storeJob(req, rec, false)
 					return
 				}
-				c.refuse(req, id, eventloop.ReplyInvalid, "too large")
+				c.rejectSubmission(req, id, eventloop.ReplyInvalid, "too large")
 			default:
 				c.loop.Unavailable(req)
 			}
@@ -815,4 +819,4 @@
 // HasEnded tells whether a job is known to be over.
 func (c *Core) HasEnded(id string) bool { _, ok := c.ended[id]; return ok }
 
-func (c *Core) homeOf(team string) string { return c.view.Lease.Partitions[team] }
+func (c *Core) partitionOwner(team string) string { return c.view.Lease.Partitions[team] }
--- a/internal/core/controller/lead.go
+++ b/internal/core/controller/lead.go
@@ -102,7 +102,7 @@
 	}
 	if len(known) > 0 {
 		f := c.newFrame()
-		f.SpareCpus, f.KnownMachines = c.spare, known
+		f.SpareCpus, f.KnownMachines = c.spareCPUs, known
 		c.loop.Emit(eventloop.PeerSend{To: r.GetNode(), Frame: f})
 	}
 }
--- a/internal/core/controller/lease.go
+++ b/internal/core/controller/lease.go
@@ -66,14 +66,14 @@
 func (c *Core) readIncompleteLease() {
 	if c.incompleteLease != nil && !c.leaseReadInFlight && c.loop.Now.Sub(c.incompleteSince) >= incompleteLeaseTimeout {
 		c.incompleteSince = c.loop.Now
-		c.fetchLease(func(eventloop.Outcome) {})
+		c.readLease(func(eventloop.Outcome) {})
 	}
 }
 
-// fetchLease reads the lease value and, if need be, its pages. Both may change
+// readLease reads the lease value and, if need be, its pages. Both may change
 // in between, so it tries a few times; then gets the outcome of what it read
 // last, or NoAnswer when value and pages never matched.
-func (c *Core) fetchLease(then func(outcome eventloop.Outcome)) {
+func (c *Core) readLease(then func(outcome eventloop.Outcome)) {
 	c.leaseReadInFlight = true
 	done := func(outcome eventloop.Outcome) {
 		c.leaseReadInFlight = false
@@ -199,7 +199,7 @@
 // isolatedFromState tells whether the state service answers others but not this
 // controller.
 func (c *Core) isolatedFromState() bool {
-	if c.loop.Now.Sub(c.stateOK) < isolatedAfter {
+	if c.loop.Now.Sub(c.lastStateAnswer) < isolatedAfter {
 		return false
 	}
 	for _, p := range c.view.Peers {
@@ -458,7 +458,7 @@
 			}
 			// Refused, or perhaps done: read before deciding anything.
 			c.leaseWriteInFlight = true
-			c.fetchLease(func(eventloop.Outcome) {
+			c.readLease(func(eventloop.Outcome) {
 				c.leaseWriteInFlight = false
 				if c.leader != nil {
 					c.leader.RequestPublish()
--- a/internal/core/controller/level.go
+++ b/internal/core/controller/level.go
@@ -158,7 +158,7 @@
 	}
 	changed := rec.Ready != old.Ready || rec.UnreconciledMachines != old.UnreconciledMachines || rec.OutdatedRecords != old.OutdatedRecords || !slices.Equal(rec.LevelBlockers, old.LevelBlockers)
 	return changed && c.loop.Now.Sub(time.UnixMilli(old.UpdatedAtMs)) >= levelProgressInterval &&
-		c.userWrites == 0 && c.loop.Now.Sub(c.usersShort) >= levelProgressInterval
+		c.userWrites == 0 && c.loop.Now.Sub(c.userWritesThrottledAt) >= levelProgressInterval
 }
 
 // publishLevel stores what this process can follow, what it has read and how far
--- a/internal/core/controller/meeting_test.go
+++ b/internal/core/controller/meeting_test.go
@@ -245,7 +245,7 @@
 				Blocks: map[string]wire.Block{"n0": {Grant: 1 << 18, Incarnation: 7, Machines: []string{"host-000001"}}}})
 			want, now, watch := c.well, start, uint64(0)
 			if away {
-				want, now = c.away, start.Add(stateSilent)
+				want, now = c.away, start.Add(stateTimeout)
 			}
 			// handle carries out an event, and answers what it asks of the state service.
 			var handle func(ev eventloop.Event) eventloop.ReplyCode
@@ -304,7 +304,7 @@
 		"has found that data is lost":     {func(f *peerpb.Frame) { f.StateLost = true }, true, false},
 		"answers an earlier process":      {func(f *peerpb.Frame) { f.FreshnessReplies[0].Process-- }, true, false},
 		"answers somebody else":           {func(f *peerpb.Frame) { f.FreshnessReplies[0].To = "n3" }, true, false},
-		"answers what was asked long ago": {func(f *peerpb.Frame) { f.FreshnessReplies[0].Request -= asksKept }, true, false},
+		"answers what was asked long ago": {func(f *peerpb.Frame) { f.FreshnessReplies[0].Request -= maxFreshnessRequests }, true, false},
 		"answers what was never asked":    {func(f *peerpb.Frame) { f.FreshnessReplies[0].Request++ }, true, false},
 		"of an earlier version":           {func(f *peerpb.Frame) { f.FreshnessReplies = nil }, true, false},
 	} {
@@ -313,10 +313,10 @@
 		s.Peers = append(s.Peers, config.Peer{HostName: "n2", Area: "x"})
 		core := New(&s, c0.view.Params, c0.log, 7)
 		core.loop.Begin(start)
-		core.loaded, core.rev, core.stateOK, core.watching = true, 7, start, true
+		core.loaded, core.revision, core.lastStateAnswer, core.watching = true, 7, start, true
 		core.owner.ChangesKnown(core.view.LeaseVersion, start)
 		ask, now := uint64(0), start
-		for ask < 2*asksKept {
+		for ask < 2*maxFreshnessRequests {
 			now = now.Add(time.Second)
 			for _, e := range core.Step(now, eventloop.Tick{}) {
 				if p, ok := e.(eventloop.PeerSend); ok {
@@ -368,7 +368,7 @@
 	} {
 		core, now := newCore(t, []config.Team{{Name: "free"}}, wire.LeaseRecord{Term: 3, Leader: "n1"})
 		core.loop.Begin(now)
-		core.fetchLease(func(eventloop.Outcome) {})
+		core.readLease(func(eventloop.Outcome) {})
 		var get eventloop.StateGet
 		for _, e := range core.loop.Effects() {
 			if g, ok := e.(eventloop.StateGet); ok {
--- a/internal/core/controller/recover.go
+++ b/internal/core/controller/recover.go
@@ -119,7 +119,7 @@
 			return
 		}
 	}
-	c.load()
+	c.readState()
 }
 
 // stateUnsettled tells whether what this process reads is not to be worked with yet.
@@ -181,10 +181,10 @@
 	c.recovery = &recoveryRun{generation: c.generation(), revisionSeen: seen, revisionFound: found, since: c.loop.Now}
 	c.highestRevision, c.loop.Generation = 0, 0
 	c.stepDown()
-	for rank, queue := range c.verify.queue {
-		c.verify.queue[rank] = nil
+	for rank, queue := range c.freshness.queues {
+		c.freshness.queues[rank] = nil
 		for _, q := range queue {
-			q.then(nil, nil, false)
+			q.answer(nil, nil, false)
 		}
 	}
 	c.nextHeartbeatAt = time.Time{}
@@ -569,11 +569,11 @@
 func (c *Core) restart() {
 	kept, old := c.knownState(), *c
 	c.loop.DropCalls()
-	*c = Core{loop: c.loop, previousState: kept, shuttingDown: old.shuttingDown, steppedAt: old.steppedAt, stateOK: old.stateOK}
+	*c = Core{loop: c.loop, previousState: kept, shuttingDown: old.shuttingDown, lastStepAt: old.lastStepAt, lastStateAnswer: old.lastStateAnswer}
 	c.loop.Generation = 0
 	view := cluster.New(old.view.Settings, old.view.Params)
 	view.MachineTypes = old.view.MachineTypes
 	c.reset(view, old.log, old.blockLease.Incarnation()+1)
 	c.owner.Served = old.owner.Served
-	c.load()
+	c.readState()
 }
--- a/internal/core/controller/verify_test.go
+++ b/internal/core/controller/verify_test.go
@@ -52,7 +52,7 @@
 	if len(lost) != 1 {
 		t.Fatalf("%d checks", len(lost))
 	}
-	a.now = a.now.Add(a.verifyEvery())
+	a.now = a.now.Add(a.freshnessInterval())
 	own, _ := a.step(eventloop.QueryRequest{Req: 2, ID: "wk-000002"})
 	if len(own) != 1 {
 		t.Fatalf("%d checks behind one without an answer", len(own))
@@ -61,7 +61,7 @@
 	if a.said[2].Code != eventloop.ReplyNotFound || a.said[1].Code != eventloop.NoReply {
 		t.Errorf("answered %v", a.said)
 	}
-	a.now = a.now.Add(a.verifyEvery())
+	a.now = a.now.Add(a.freshnessInterval())
 	again, _ := a.step(eventloop.Completion{ID: lost[0].ID, FromStateService: true})
 	if len(again) != 1 {
 		t.Fatalf("%d checks after a lost answer", len(again))
@@ -76,17 +76,17 @@
 // are asked again by themselves: among what was asked since, they would fail by that.
 func TestConflictOfAnotherJob(t *testing.T) {
 	a := newAsked(t)
-	a.verify.next = a.now.Add(a.verifyEvery()) // so that both go out together
+	a.freshness.nextCheckAt = a.now.Add(a.freshnessInterval()) // so that both go out together
 	a.step(eventloop.QueryRequest{Req: 1, ID: "wk-000001"})
 	a.step(eventloop.QueryRequest{Req: 2, ID: "wk-000002"})
-	a.now = a.verify.next
+	a.now = a.freshness.nextCheckAt
 	both, _ := a.step(eventloop.Tick{})
 	if len(both) != 1 {
 		t.Fatalf("%d checks", len(both))
 	}
 	a.step(eventloop.QueryRequest{Req: 3, ID: "wk-000003"})
 	// Of a job that has come since its record is read, and nothing else.
-	a.now = a.verify.next
+	a.now = a.freshness.nextCheckAt
 	again, gets := a.step(eventloop.Completion{ID: both[0].ID, FromStateService: true, Outcome: eventloop.Conflict, Txn: wire.TxnAnswer{Failed: []string{jobPrefix + "wk-000001"}}})
 	if len(gets) != 1 || gets[0].Key != jobPrefix+"wk-000001" || len(again) != 1 {
 		t.Fatalf("reads %v, %d checks after a conflict", gets, len(again))
@@ -163,11 +163,11 @@
 // answers them all; one for each would use up the request limit when it counts.
 func TestOneReadingForAllWhoAsk(t *testing.T) {
 	a := newAsked(t)
-	a.verify.next = a.now.Add(a.verifyEvery())
+	a.freshness.nextCheckAt = a.now.Add(a.freshnessInterval())
 	for req := range uint64(10) {
 		a.step(eventloop.QueryRequest{Req: req + 1, ID: "wk-000001"})
 	}
-	a.now = a.verify.next
+	a.now = a.freshness.nextCheckAt
 	check, _ := a.step(eventloop.Tick{})
 	_, gets := a.step(eventloop.Completion{ID: check[0].ID, FromStateService: true, Outcome: eventloop.Conflict, Txn: wire.TxnAnswer{Failed: []string{jobPrefix + "wk-000001"}}})
 	if len(gets) != 1 {
