--- a/internal/core/controller/bench_test.go
+++ b/internal/core/controller/bench_test.go
@@ -35,7 +35,7 @@
 	c := New(s, cluster.Defaults(), slog.New(slog.NewTextHandler(io.Discard, nil)), 7)
 	now := time.Date(2026, 3, 1, 6, 0, 0, 0, time.UTC)
 	c.loop.Begin(now)
-	c.lastStateAnswer, c.leaseWriteSentAt, c.loaded = now, now, true
+	c.state.lastAnswer, c.leaseWriteSentAt, c.state.phase = now, now, stateRead
 	c.owner.ChangesKnown(5, now)
 	c.view.MachineTypes["b8"] = wire.MachineType{Name: "b8", CPUs: 8, MemoryGB: 32, CacheGB: 20, FetchGBPS: 1, Price: 1, SpotPrice: 0.3, BootS: 30, Zones: []string{"x", "y"}}
 	rec := wire.LeaseRecord{Form: 2, Term: 3, Leader: "n0", Incarnation: 7, Partitions: map[string]string{"red": "n0"},
--- a/internal/core/controller/clear.go
+++ b/internal/core/controller/clear.go
@@ -26,7 +26,7 @@
 // addFreshnessRequest notes that a frame which asks is sent, and writes the ask and the answers to
 // others into it.
 func (c *Core) addFreshnessRequest(f *peerpb.Frame) {
-	if !c.view.Params.Levels.KnowsLevels() || !c.loaded || c.recovery != nil {
+	if !c.view.Params.Levels.KnowsLevels() || !c.state.loaded() || c.recovery != nil {
 		return
 	}
 	c.freshnessRequests++
@@ -44,8 +44,8 @@
 	if f.GetFreshnessRequest() > 0 {
 		p.FreshnessRequest = f.GetFreshnessRequest()
 	}
-	if !c.loaded || c.recovery != nil || f.GetStateLost() || f.GetGeneration() != c.generation() ||
-		f.GetCancelledRevision() == 0 || f.GetCancelledRevision() > c.revision {
+	if !c.state.loaded() || c.recovery != nil || f.GetStateLost() || f.GetGeneration() != c.generation() ||
+		f.GetCancelledRevision() == 0 || f.GetCancelledRevision() > c.state.revision {
 		return
 	}
 	for _, e := range f.GetFreshnessReplies() {
--- a/internal/core/controller/controller.go
+++ b/internal/core/controller/controller.go
@@ -32,19 +32,10 @@
 	owner  *owner.Owner
 	leader *leader.Leader // nil while another controller leads
 
-	// What the state service holds, as far as this controller knows.
-	loaded                bool
-	loading               bool
-	retryAt               time.Time
-	revision              uint64
-	watchAt               time.Time
-	watching              bool
-	lastStateAnswer       time.Time // last answer of the state service
-	ended                 map[string]wire.EndRecord
-	endedOrder            []string
-	freshness             freshnessChecker
-	userWrites            int       // submissions being stored
-	userWritesThrottledAt time.Time // when one last found no room in the write limit
+	state      stateReader
+	ended      endedJobs
+	freshness  freshnessChecker
+	userWrites userWrites
 
 	typesRequestedAt time.Time
 	typesInFlight    bool
@@ -96,7 +87,7 @@
 
 // reset makes the core that of a process that knows nothing yet.
 func (c *Core) reset(view *cluster.View, log *slog.Logger, incarnation uint64) {
-	c.view, c.log, c.blockLease, c.ended = view, log, blocklease.New(incarnation, view.Params.LeaseDuration), map[string]wire.EndRecord{}
+	c.view, c.log, c.blockLease, c.ended = view, log, blocklease.New(incarnation, view.Params.LeaseDuration), newEndedJobs()
 	c.leasePages.PreLevels = !view.Params.Levels.KnowsLevels()
 	c.owner = owner.New(&c.loop, c.view, c.blockLease, c, log)
 }
@@ -127,10 +118,10 @@
 		c.handlePeerFrame(e.Frame)
 	case eventloop.Completion:
 		if e.FromStateService && (e.Outcome == eventloop.Succeeded || e.Outcome == eventloop.NotFound || e.Outcome == eventloop.Conflict) {
-			if !c.stateReachable() && !c.lastStateAnswer.IsZero() {
+			if !c.stateReachable() && !c.state.lastAnswer.IsZero() {
 				c.resumedAt = now // what it has missed meanwhile may be a loss
 			}
-			c.lastStateAnswer = now
+			c.state.lastAnswer = now
 		}
 		c.checkRevision(&e)
 		c.loop.Complete(e)
@@ -189,7 +180,7 @@
 		return
 	}
 	c.readMachineTypes()
-	if !c.loaded {
+	if !c.state.loaded() {
 		c.startUp()
 		return
 	}
--- a/internal/core/controller/controller_test.go
+++ b/internal/core/controller/controller_test.go
@@ -27,9 +27,9 @@
 	c := New(s, cluster.Defaults(), slog.New(slog.NewTextHandler(io.Discard, nil)), 7)
 	now := time.Date(2026, 3, 1, 6, 0, 0, 0, time.UTC)
 	c.loop.Begin(now)
-	c.loaded = true
+	c.state.phase = stateRead
 	c.owner.ChangesKnown(5, now)
-	c.lastStateAnswer = now
+	c.state.lastAnswer = now
 	c.view.MachineTypes["s4"] = wire.MachineType{Name: "s4", CPUs: 4, MemoryGB: 16, CacheGB: 20, FetchGBPS: 1, Price: 1, SpotPrice: 0.3, BootS: 6, Zones: []string{"x", "y"}}
 	c.applyLease(rec, 5)
 	return c, now
@@ -41,7 +41,7 @@
 func TestOutageIsNotTakenForRefusal(t *testing.T) {
 	c, start := newCore(t, []config.Team{{Name: "free"}}, wire.LeaseRecord{Term: 3, Leader: "n1",
 		Blocks: map[string]wire.Block{"n0": {Grant: 1 << 18, Incarnation: 7}}, Partitions: map[string]string{"free": "n0"}})
-	c.lastStateAnswer = start
+	c.state.lastAnswer = start
 	for ms := 500; ms <= 16000; ms += 500 {
 		c.Step(start.Add(time.Duration(ms)*time.Millisecond), eventloop.PeerFrame{Frame: &peerpb.Frame{From: "n1", StateOk: ms < 4000 || ms > 10000}})
 		if got, want := c.isolatedFromState(), ms > 10000+int(peerReachableFor.Milliseconds())+500; got != want {
--- /dev/null
+++ b/internal/core/controller/freshness.go
@@ -0,0 +1,257 @@
+package controller
+
+import (
+	"slices"
+	"time"
+
+	"fawncove/internal/core/eventloop"
+	"fawncove/internal/core/owner"
+	"fawncove/internal/wire"
+)
+
+// How long a lookup may wait for the state service. Users wait 2 s for the answer to a
+// query and 5 s for others; what cannot be answered before is refused at once.
+const (
+	queryTimeout  = 1500 * time.Millisecond
+	changeTimeout = 3 * time.Second
+)
+
+// lookup is what is known of a job after a freshness check: the job, its end, or
+// neither.
+type lookup struct {
+	job *owner.Job
+	end *wire.EndRecord
+	// absent says that the state service had neither when it was asked. Without it
+	// nothing is known.
+	absent bool
+}
+
+// lookupPurpose says what a lookup is for.
+type lookupPurpose int
+
+const (
+	forChange lookupPurpose = iota // a submission or a cancellation
+	forQuery
+)
+
+// The priorities of lookups, the most urgent first: changes, queries of jobs that are
+// known here, then queries of ids that may not exist at all.
+const (
+	priorityChange = iota
+	priorityKnownJob
+	priorityUnknownJob
+	priorities
+)
+
+// freshnessQuery is a lookup that waits for a freshness check.
+type freshnessQuery struct {
+	id       string
+	deadline time.Time // an answer is of no use after it
+	answer   func(lookup)
+}
+
+// freshnessChecker makes reads of jobs linearizable: before anybody is answered, what
+// this controller knows is compared with the state service. The lookups that have come
+// in since the last check go into the next one, as conditions of a transaction that
+// changes nothing, so no answer is older than another controller's.
+//
+// A check does not wait for the one before it, whose answer may be lost: lookups that
+// come in meanwhile go out in a check of their own, and those without an answer go out
+// again.
+type freshnessChecker struct {
+	nextCheckAt time.Time // spaces the checks
+	queues      [priorities][]freshnessQuery
+	// retries holds the lookups of checks that got no answer, or failed by another
+	// job. They go out by themselves: among new ones they would fail again and again
+	// by the jobs that those ask about.
+	retries      []freshnessQuery
+	lastWasRetry bool
+}
+
+// countAhead returns how many lookups go out before a new one of a priority.
+func (f *freshnessChecker) countAhead(priority int) int {
+	n := len(f.retries)
+	for p := range priority + 1 {
+		n += len(f.queues[p])
+	}
+	return n
+}
+
+// nextBatch takes the lookups of the next check. Retries and new lookups take turns.
+func (f *freshnessChecker) nextBatch(limit int) (batch []freshnessQuery) {
+	if len(f.retries) > 0 && !f.lastWasRetry {
+		n := min(len(f.retries), limit)
+		batch, f.retries, f.lastWasRetry = f.retries[:n:n], f.retries[n:], true
+		return batch
+	}
+	for p, queue := range f.queues {
+		n := min(len(queue), limit-len(batch))
+		batch = append(batch, queue[:n]...)
+		f.queues[p] = slices.Clone(queue[n:])
+	}
+	f.lastWasRetry = false
+	if len(batch) == 0 && len(f.retries) > 0 {
+		return f.nextBatch(limit)
+	}
+	return batch
+}
+
+// failQueued answers all lookups that have not gone out yet: nothing is known.
+func (f *freshnessChecker) failQueued() {
+	for p, queue := range f.queues {
+		f.queues[p] = nil
+		for _, q := range queue {
+			q.answer(lookup{})
+		}
+	}
+}
+
+// freshnessInterval spaces the checks.
+func (c *Core) freshnessInterval() time.Duration { return c.requestInterval(freshnessRequestShare) }
+
+// maxFreshnessBatch is how many lookups a check may have. A transaction takes four
+// times txn_ops conditions: two for each lookup, and one for the generation.
+func (c *Core) maxFreshnessBatch() int { return max(1, 2*c.view.Settings.Cluster.State.TxnOps-1) }
+
+// checkFreshness looks a job up, and answers from what is known to be current. It
+// answers at once when the job has ended, as an end is final, and when no answer can be
+// expected in time.
+func (c *Core) checkFreshness(id string, purpose lookupPurpose, answer func(lookup)) {
+	if end, ok := c.ended.get(id); ok {
+		answer(lookup{end: &end})
+		return
+	}
+	priority, timeout := c.freshnessPriority(id, purpose)
+	maxWaiting := int(queryTimeout/c.freshnessInterval()) * c.maxFreshnessBatch()
+	if !c.stateReachable() || c.freshness.countAhead(priority) >= maxWaiting {
+		answer(lookup{})
+		return
+	}
+	q := freshnessQuery{id: id, deadline: c.loop.Now.Add(timeout), answer: answer}
+	c.freshness.queues[priority] = append(c.freshness.queues[priority], q)
+	c.sendFreshnessCheck()
+}
+
+func (c *Core) freshnessPriority(id string, purpose lookupPurpose) (priority int, timeout time.Duration) {
+	switch {
+	case purpose == forChange:
+		return priorityChange, changeTimeout
+	case c.owner.Job(id) != nil:
+		return priorityKnownJob, queryTimeout
+	default:
+		return priorityUnknownJob, queryTimeout
+	}
+}
+
+// sendFreshnessCheck sends the next check, if it is due and there are lookups.
+func (c *Core) sendFreshnessCheck() {
+	if c.loop.Now.Before(c.freshness.nextCheckAt) {
+		return
+	}
+	batch := c.freshness.nextBatch(c.maxFreshnessBatch())
+	if len(batch) == 0 {
+		return
+	}
+	c.freshness.nextCheckAt = c.loop.Now.Add(c.freshnessInterval())
+	conds, known := c.freshnessConditions(batch)
+	c.loop.Emit(eventloop.StateTxn{Txn: wire.Txn{If: conds}, ID: c.loop.Call(func(d eventloop.Completion) {
+		c.handleFreshnessCheck(batch, known, &d)
+		c.sendFreshnessCheck()
+	})})
+}
+
+// freshnessConditions returns what is known here of the jobs of a batch as conditions,
+// and which of the jobs are known.
+func (c *Core) freshnessConditions(batch []freshnessQuery) (conds []wire.Condition, known map[string]bool) {
+	conds, known = make([]wire.Condition, 0, 2*len(batch)+1), make(map[string]bool, len(batch))
+	// The generation is part of the compare: a controller that was cut off while the
+	// state lost data need not notice by the revision, which has risen again since.
+	if c.view.Params.Levels.KnowsLevels() {
+		conds = append(conds, wire.Condition{Key: generationKey, Version: c.storedGeneration.Version})
+	}
+	for _, q := range batch {
+		if _, ok := known[q.id]; ok {
+			continue
+		}
+		j := c.owner.Job(q.id)
+		if known[q.id] = j != nil && !j.Ended; known[q.id] {
+			conds = append(conds, wire.Condition{Key: jobPrefix + q.id, Version: j.Version})
+		} else {
+			conds = append(conds, wire.Condition{Key: jobPrefix + q.id}, wire.Condition{Key: endPrefix + q.id})
+		}
+	}
+	return conds, known
+}
+
+// handleFreshnessCheck answers the lookups of a check, or has them go out again.
+func (c *Core) handleFreshnessCheck(batch []freshnessQuery, known map[string]bool, d *eventloop.Completion) {
+	if d.Outcome == eventloop.Conflict && slices.Contains(d.Txn.Failed, generationKey) {
+		d.Outcome = eventloop.Unavailable // no answer can be drawn from a state of another generation
+		c.readGeneration(func(eventloop.Outcome) {})
+	}
+	switch d.Outcome {
+	case eventloop.Succeeded:
+		for _, q := range batch {
+			c.answerQuery(q, true, !known[q.id])
+		}
+	case eventloop.Conflict:
+		c.handleFreshnessConflict(batch, d.Txn.Failed)
+	case eventloop.NoAnswer:
+		for _, q := range batch {
+			c.retryOrFail(q)
+		}
+	default:
+		for _, q := range batch {
+			q.answer(lookup{})
+		}
+	}
+}
+
+// handleFreshnessConflict reads the jobs again by which a check failed. Only they are
+// sure to differ, and nothing is known of the others: those go into another check.
+func (c *Core) handleFreshnessConflict(batch []freshnessQuery, failedKeys []string) {
+	failed := map[string]bool{}
+	for _, key := range failedKeys {
+		if len(key) > len(jobPrefix) {
+			failed[key[len(jobPrefix):]] = true
+		}
+	}
+	changed := map[string][]freshnessQuery{} // by job
+	for _, q := range batch {
+		if !failed[q.id] {
+			c.retryOrFail(q)
+			continue
+		}
+		changed[q.id] = append(changed[q.id], q)
+		if len(changed[q.id]) > 1 {
+			continue // one reading serves all lookups of the job
+		}
+		c.refreshAfterConflict(q.id, failedKeys, func(read bool) {
+			for _, q := range changed[q.id] {
+				c.answerQuery(q, read, false)
+			}
+		})
+	}
+}
+
+// retryOrFail has a lookup go out again, or gives it up when it would be too late.
+func (c *Core) retryOrFail(q freshnessQuery) {
+	if c.loop.Now.Before(q.deadline) && c.stateReachable() {
+		c.freshness.retries = append(c.freshness.retries, q)
+	} else {
+		q.answer(lookup{})
+	}
+}
+
+// answerQuery answers a lookup after the state service was asked. current says that
+// what is known here of a running job is not older than the lookup; absent that there
+// was no such job then, though it may have come since.
+func (c *Core) answerQuery(q freshnessQuery, current, absent bool) {
+	if end, ok := c.ended.get(q.id); ok {
+		q.answer(lookup{end: &end})
+	} else if j := c.owner.Job(q.id); current && j != nil && !j.Ended {
+		q.answer(lookup{job: j})
+	} else {
+		q.answer(lookup{absent: absent})
+	}
+}
--- a/internal/core/controller/lease.go
+++ b/internal/core/controller/lease.go
@@ -199,7 +199,7 @@
 // isolatedFromState tells whether the state service answers others but not this
 // controller.
 func (c *Core) isolatedFromState() bool {
-	if c.loop.Now.Sub(c.lastStateAnswer) < isolatedAfter {
+	if c.loop.Now.Sub(c.state.lastAnswer) < isolatedAfter {
 		return false
 	}
 	for _, p := range c.view.Peers {
@@ -220,7 +220,7 @@
 // which keep their tasks alive for a while but may start none. A successor goes
 // on with them where they are.
 func (c *Core) stepDownIfIsolated() {
-	if c.shuttingDown || !c.loaded || (!c.blockLease.Held() && c.leader == nil) {
+	if c.shuttingDown || !c.state.loaded() || (!c.blockLease.Held() && c.leader == nil) {
 		return
 	}
 	switch {
@@ -467,3 +467,19 @@
 		}),
 	})
 }
+
+// applyLeasePage reads a page beside the lease value, which may have waited for it.
+func (c *Core) applyLeasePage(key string, value []byte) {
+	if _, err := c.leasePages.ReadPage(key, value); err != nil {
+		c.log.Error("lease page", "err", err)
+	}
+	if c.incompleteLease != nil {
+		c.applyLeaseValue(*c.incompleteLease)
+	}
+}
+
+// LeaseUnchanged returns the conditions under which the lease value and the generation
+// are those that this controller knows.
+func (c *Core) LeaseUnchanged() []wire.Condition {
+	return []wire.Condition{{Key: leaseKey, Version: c.view.LeaseVersion}, {Key: generationKey, Version: c.storedGeneration.Version}}
+}
--- a/internal/core/controller/level.go
+++ b/internal/core/controller/level.go
@@ -42,7 +42,17 @@
 }
 
 // serves tells whether users and workers can be served at all.
-func (c *Core) serves() bool { return c.loaded && c.incompatible == nil && c.recovery == nil }
+func (c *Core) serves() bool { return c.state.loaded() && c.incompatible == nil && c.recovery == nil }
+
+// WorkersServed reports whether workers may be answered: jobs are known, and this
+// controller is not the only one that the state service refuses; then others know
+// which controller holds the machines.
+//
+// During a recovery of the state workers are answered with their own tokens, as those
+// of others are, so that what runs lives on.
+func (c *Core) WorkersServed() bool {
+	return c.recovery != nil || c.serves() && (c.blockLease.Held() || !c.isolatedFromState())
+}
 
 // Incompatible tells why this version cannot serve this cluster, or nil.
 func (c *Core) Incompatible() error { return c.incompatible }
@@ -158,7 +168,7 @@
 	}
 	changed := rec.Ready != old.Ready || rec.UnreconciledMachines != old.UnreconciledMachines || rec.OutdatedRecords != old.OutdatedRecords || !slices.Equal(rec.LevelBlockers, old.LevelBlockers)
 	return changed && c.loop.Now.Sub(time.UnixMilli(old.UpdatedAtMs)) >= levelProgressInterval &&
-		c.userWrites == 0 && c.loop.Now.Sub(c.userWritesThrottledAt) >= levelProgressInterval
+		c.userWrites.pending == 0 && c.loop.Now.Sub(c.userWrites.throttledAt) >= levelProgressInterval
 }
 
 // publishLevel stores what this process can follow, what it has read and how far
--- a/internal/core/controller/meeting_test.go
+++ b/internal/core/controller/meeting_test.go
@@ -171,7 +171,7 @@
 		Pairs: []wire.Pair{{Key: jobPrefix + "wk-000001", Version: 1}}}}))
 	at(18 * time.Second)
 	gets(c.Step(now, eventloop.Completion{ID: second, FromStateService: true, Outcome: eventloop.Succeeded, Page: wire.Page{Revision: 2}}))
-	if !c.loaded {
+	if !c.state.loaded() {
 		t.Fatal("not read")
 	}
 	w := c.view.Settings.Cluster.Workers
@@ -281,7 +281,7 @@
 				t.Errorf("%s, away: %v: answered %q, want %q", name, away, got, want)
 			}
 			handle(eventloop.Tick{})
-			if len(c0.owner.Jobs()) != jobs || c0.view.LeaseVersion != version || len(c0.ended) > 0 || c0.recovery != nil {
+			if len(c0.owner.Jobs()) != jobs || c0.view.LeaseVersion != version || len(c0.ended.records) > 0 || c0.recovery != nil {
 				t.Errorf("%s, away: %v: changed what is known", name, away)
 			}
 		}
@@ -313,7 +313,7 @@
 		s.Peers = append(s.Peers, config.Peer{HostName: "n2", Area: "x"})
 		core := New(&s, c0.view.Params, c0.log, 7)
 		core.loop.Begin(start)
-		core.loaded, core.revision, core.lastStateAnswer, core.watching = true, 7, start, true
+		core.state = stateReader{phase: stateRead, revision: 7, lastAnswer: start, watching: true}
 		core.owner.ChangesKnown(core.view.LeaseVersion, start)
 		ask, now := uint64(0), start
 		for ask < 2*maxFreshnessRequests {
--- /dev/null
+++ b/internal/core/controller/read.go
@@ -0,0 +1,130 @@
+package controller
+
+import (
+	"time"
+
+	"fawncove/internal/core/eventloop"
+	"fawncove/internal/core/recovery"
+)
+
+// stateReading is one reading of the whole state: its generation, all jobs page by
+// page, then the lease value.
+type stateReading struct {
+	core      *Core
+	startedAt time.Time       // when the first page was asked for
+	revision  uint64          // of the first page; the watch goes on from there
+	seen      map[string]bool // keys of the jobs read so far
+}
+
+// readState starts to read the whole state, unless a reading is under way.
+func (c *Core) readState() {
+	if !c.state.begin(c.loop.Now) {
+		return
+	}
+	r := &stateReading{core: c, seen: map[string]bool{}}
+	c.readGeneration(r.generationRead)
+}
+
+func (r *stateReading) fail(what string, outcome eventloop.Outcome) {
+	c := r.core
+	c.log.Info("state service does not answer", "reading", what, "outcome", outcome)
+	c.state.fail(c.loop.Now)
+}
+
+func (r *stateReading) generationRead(outcome eventloop.Outcome) {
+	c := r.core
+	if !readOrAbsent(outcome) || c.stateUnsettled() {
+		r.fail("generation", outcome)
+		return
+	}
+	c.state.phase = readingJobs
+	r.startedAt = c.loop.Now
+	r.readJobs("")
+}
+
+// readJobs reads the page of jobs behind a key.
+func (r *stateReading) readJobs(after string) {
+	c := r.core
+	c.loop.Emit(eventloop.StateRange{Prefix: jobPrefix, After: after, ID: c.loop.Call(r.jobsRead)})
+}
+
+func (r *stateReading) jobsRead(d eventloop.Completion) {
+	c := r.core
+	if d.Outcome != eventloop.Succeeded {
+		r.fail("jobs", d.Outcome)
+		return
+	}
+	// Changes made while the pages are read come again with the watch, which starts
+	// at the revision of the first page.
+	if r.revision == 0 {
+		r.revision = d.Page.Revision
+	}
+	for _, p := range d.Page.Pairs {
+		r.seen[p.Key] = true
+		c.applyPut(p.Key, p.Value, p.Version)
+	}
+	if n := len(d.Page.Pairs); d.Page.More && n > 0 {
+		r.readJobs(d.Page.Pairs[n-1].Key)
+		return
+	}
+	r.endMissingJobs()
+	c.state.phase = readingLease
+	c.readLease(r.leaseRead)
+}
+
+// endMissingJobs ends the jobs that are known here and were not read.
+func (r *stateReading) endMissingJobs() {
+	for id, j := range r.core.owner.Jobs() {
+		if !r.seen[jobPrefix+id] && j.Version <= r.revision {
+			r.core.owner.EndJob(j)
+		}
+	}
+}
+
+func (r *stateReading) leaseRead(outcome eventloop.Outcome) {
+	c := r.core
+	if !readOrAbsent(outcome) {
+		r.fail("leases", outcome)
+		return
+	}
+	if c.stateUnsettled() {
+		r.fail("generation", outcome)
+		return
+	}
+	r.complete()
+}
+
+// complete makes what was read the current state, and starts what waited for it.
+func (r *stateReading) complete() {
+	c := r.core
+	c.state.complete(r.revision)
+	c.previousState = recovery.KnownState{}
+	// The first page may be old: a change since then may be missing on any page.
+	c.owner.ChangesKnown(r.revision, r.startedAt)
+	// An earlier process may have answered any cancellation that is stored.
+	c.cancelledRevision = max(c.cancelledRevision, r.revision, 1)
+	c.leaderSeenAt = c.loop.Now
+	c.outgrowEarlierProcess()
+	c.nextRenewalAt = c.loop.Now
+	c.log.Info("state read", "jobs", len(c.owner.Jobs()), "revision", r.revision)
+	c.watchState()
+	c.campaign()
+	c.renewBlockLease()
+}
+
+// outgrowEarlierProcess raises the incarnation above that of an earlier process which
+// the lease value names as holder of the block, or as leader.
+func (c *Core) outgrowEarlierProcess() {
+	lease, own := &c.view.Lease, c.blockLease
+	if b, ok := lease.Blocks[c.view.Self]; ok && b.Incarnation >= own.Incarnation() && !own.Held() {
+		own.RaiseIncarnation(b.Incarnation)
+	}
+	if lease.Leader == c.view.Self && lease.Incarnation >= own.Incarnation() && c.leader == nil {
+		own.RaiseIncarnation(lease.Incarnation)
+	}
+}
+
+// readOrAbsent reports whether a read has an answer: a value, or that there is none.
+func readOrAbsent(outcome eventloop.Outcome) bool {
+	return outcome == eventloop.Succeeded || outcome == eventloop.NotFound
+}
--- a/internal/core/controller/recover.go
+++ b/internal/core/controller/recover.go
@@ -1,7 +1,6 @@
 package controller
 
 import (
-	"maps"
 	"slices"
 	"strconv"
 	"strings"
@@ -59,7 +58,7 @@
 
 // addGeneration says in a frame what this controller knows of the state's fate.
 func (c *Core) addGeneration(f *peerpb.Frame) {
-	if !c.view.Params.Levels.KnowsLevels() || (!c.loaded && c.recovery == nil) {
+	if !c.view.Params.Levels.KnowsLevels() || (!c.state.loaded() && c.recovery == nil) {
 		return
 	}
 	f.Generation = c.generation()
@@ -154,7 +153,7 @@
 	}
 	rev := max(d.Txn.Revision, d.Page.Revision, d.Changes.Revision)
 	if mark := c.loop.CallGeneration(d.ID); rev < mark {
-		if !c.loaded && c.recovery == nil {
+		if !c.state.loaded() && c.recovery == nil {
 			c.startup.staleAnswerAt, c.highestRevision, c.loop.Generation = c.loop.Now, 0, 0
 		}
 		c.startRecovery("its revisions went back", mark, rev)
@@ -177,16 +176,11 @@
 		return
 	}
 	c.log.Error("the state has lost data", "why", why, "seen", seen, "found", found, "generation", c.generation(),
-		"jobs", len(c.owner.Jobs()), "ends", len(c.ended))
+		"jobs", len(c.owner.Jobs()), "ends", len(c.ended.records))
 	c.recovery = &recoveryRun{generation: c.generation(), revisionSeen: seen, revisionFound: found, since: c.loop.Now}
 	c.highestRevision, c.loop.Generation = 0, 0
 	c.stepDown()
-	for rank, queue := range c.freshness.queues {
-		c.freshness.queues[rank] = nil
-		for _, q := range queue {
-			q.answer(nil, nil, false)
-		}
-	}
+	c.freshness.failQueued()
 	c.nextHeartbeatAt = time.Time{}
 	c.heartbeatPeers()
 }
@@ -194,7 +188,7 @@
 // canRecover tells whether this controller knows the state and all others that it
 // has heard can follow; one of an earlier version would go on by what is gone.
 func (c *Core) canRecover() bool {
-	if !c.view.Params.Levels.KnowsLevels() || c.incompatible != nil || c.shuttingDown || (!c.loaded && len(c.previousState.Jobs)+len(c.previousState.Ends) == 0) {
+	if !c.view.Params.Levels.KnowsLevels() || c.incompatible != nil || c.shuttingDown || (!c.state.loaded() && len(c.previousState.Jobs)+len(c.previousState.Ends) == 0) {
 		return false
 	}
 	for name, p := range c.view.Peers {
@@ -222,7 +216,7 @@
 		c.loop.Generation = c.highestRevision
 	}
 	switch {
-	case c.recovery != nil || !c.loaded || p.Generation == 0:
+	case c.recovery != nil || !c.state.loaded() || p.Generation == 0:
 	case p.StateLost && p.Generation == c.generation():
 		c.startRecovery("another controller says so", c.highestRevision, 0)
 	case !p.StateLost && p.Generation > c.generation():
@@ -262,7 +256,7 @@
 		c.log.Error("generation", "err", err)
 		return
 	}
-	if c.loaded && c.recovery == nil {
+	if c.state.loaded() && c.recovery == nil {
 		switch {
 		case g.Generation > c.generation():
 			c.startRecovery("it was rebuilt without this controller", c.highestRevision, version)
@@ -277,7 +271,7 @@
 
 // knownState is what this controller knows, and still knows of before a rebuild.
 func (c *Core) knownState() recovery.KnownState {
-	m := recovery.KnownState{Jobs: c.owner.Records(), Ends: maps.Clone(c.ended), CompletedTasks: c.owner.CompletedTasks()}
+	m := recovery.KnownState{Jobs: c.owner.Records(), Ends: c.ended.clone(), CompletedTasks: c.owner.CompletedTasks()}
 	addMissing(m.Jobs, c.previousState.Jobs)
 	addMissing(m.Ends, c.previousState.Ends)
 	addMissing(m.CompletedTasks, c.previousState.CompletedTasks)
@@ -569,7 +563,7 @@
 func (c *Core) restart() {
 	kept, old := c.knownState(), *c
 	c.loop.DropCalls()
-	*c = Core{loop: c.loop, previousState: kept, shuttingDown: old.shuttingDown, lastStepAt: old.lastStepAt, lastStateAnswer: old.lastStateAnswer}
+	*c = Core{loop: c.loop, previousState: kept, shuttingDown: old.shuttingDown, lastStepAt: old.lastStepAt, state: stateReader{lastAnswer: old.state.lastAnswer}}
 	c.loop.Generation = 0
 	view := cluster.New(old.view.Settings, old.view.Params)
 	view.MachineTypes = old.view.MachineTypes
