--- a/internal/core/controller/bench_test.go
+++ b/internal/core/controller/bench_test.go
@@ -35,7 +35,7 @@
 	c := New(s, cluster.Defaults(), slog.New(slog.NewTextHandler(io.Discard, nil)), 7)
 	now := time.Date(2026, 3, 1, 6, 0, 0, 0, time.UTC)
 	c.loop.Begin(now)
-	c.state.lastAnswer, c.leaseWriteSentAt, c.state.phase = now, now, stateRead
+	c.state.lastAnswer, c.leaseWriter.sentAt, c.state.phase = now, now, stateRead
 	c.owner.ChangesKnown(5, now)
 	c.view.MachineTypes["b8"] = wire.MachineType{Name: "b8", CPUs: 8, MemoryGB: 32, CacheGB: 20, FetchGBPS: 1, Price: 1, SpotPrice: 0.3, BootS: 30, Zones: []string{"x", "y"}}
 	rec := wire.LeaseRecord{Form: 2, Term: 3, Leader: "n0", Incarnation: 7, Partitions: map[string]string{"red": "n0"},
@@ -57,7 +57,7 @@
 	part.Blocks = map[string]wire.Block{}
 	for done := false; !done; {
 		done = true
-		budget := c.leasePages.WriteBudget(c.view.Settings.ValueLimits())
+		budget := c.leaseReader.pages.WriteBudget(c.view.Settings.ValueLimits())
 		for _, node := range cluster.SortedKeys(rec.Blocks) {
 			blk := rec.Blocks[node]
 			have := len(part.Blocks[node].Machines)
@@ -70,7 +70,7 @@
 			part.Blocks[node] = blk
 		}
 		part.Sequence++
-		d, err := c.leasePages.Write(&part, c.view.Settings.ValueLimits())
+		d, err := c.leaseReader.pages.Write(&part, c.view.Settings.ValueLimits())
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -106,7 +106,7 @@
 		}
 		c.owner.HandleHeartbeat(eventloop.HeartbeatRequest{Req: uint64(i), Heartbeat: wire.Heartbeat{Machine: name, Endpoint: "10.0.0.1:9000", Type: "b8", Zone: "x", Spot: true, AgentEpoch: 1, Sequence: 1}})
 	}
-	c.leaseWriteInFlight = true
+	c.leaseWriter.inFlight = true
 	return c, now
 }
 
@@ -126,7 +126,7 @@
 func BenchmarkPublish(b *testing.B) {
 	atSizes(b, func(b *testing.B, c *Core, _ time.Time, n int) {
 		for i := 0; b.Loop(); i += 17 {
-			c.leaseWriteInFlight = false
+			c.leaseWriter.inFlight = false
 			c.loop.Begin(c.loop.Now)
 			c.leader.MachineDeleted(fmt.Sprintf("host-%06d", i%n))
 			c.publishLease()
--- a/internal/core/controller/controller.go
+++ b/internal/core/controller/controller.go
@@ -18,7 +18,6 @@
 	"fawncove/internal/core/owner"
 	"fawncove/internal/core/recovery"
 	"fawncove/internal/peerpb"
-	"fawncove/internal/wire"
 )
 
 // Core is the state of one controller.
@@ -41,21 +40,15 @@
 	typesInFlight    bool
 
 	// The lease value.
-	leaderSeenAt           time.Time // the election's patience counts from here
-	leaseAppliedAt         time.Time // when the value in view was first seen
-	previousLeaseAppliedAt time.Time // and the one before it
-	leaseWriteInFlight     bool
-	leasePages             leasevalue.PageTable // the pages beside the lease value
-	incompleteLease        *wire.Pair           // a lease value whose pages are not all known
-	incompleteSince        time.Time
-	leaseReadInFlight      bool
-	nextRenewalAt          time.Time
-	quotaCheckedAt         time.Time
-	unreadableVersion      uint64    // version of a lease value that could not be read
-	shuttingDown           bool      // this process is about to end
-	incompatible           error     // why this version cannot serve this cluster
-	noBlockUntil           time.Time // no block is asked for before then, see resign
-	levels                 levelPublisher
+	leaseReader leaseReader
+	leaseWriter leaseWriter
+	election    election
+	renewal     renewalTimer
+
+	shuttingDown bool      // this process is about to end
+	incompatible error     // why this version cannot serve this cluster
+	noBlockUntil time.Time // no block is asked for before then, see resign
+	levels       levelPublisher
 
 	// The state's generation, and what happens when it has lost data.
 	storedGeneration cluster.Stored[recovery.Generation]
@@ -69,7 +62,6 @@
 
 	lastStepAt           time.Time // when the last event was handled
 	resumedAt            time.Time // until when it last stood still, or was without the state service
-	leaseWriteSentAt     time.Time // when the last write of the lease value went out
 	cancelledRevision    uint64    // no cancellation beyond this revision has been told from here
 	freshnessRequests    uint64    // see clear.go
 	freshnessRequestedAt [maxFreshnessRequests]time.Time
@@ -88,7 +80,7 @@
 // reset makes the core that of a process that knows nothing yet.
 func (c *Core) reset(view *cluster.View, log *slog.Logger, incarnation uint64) {
 	c.view, c.log, c.blockLease, c.ended = view, log, blocklease.New(incarnation, view.Params.LeaseDuration), newEndedJobs()
-	c.leasePages.PreLevels = !view.Params.Levels.KnowsLevels()
+	c.leaseReader.pages.PreLevels = !view.Params.Levels.KnowsLevels()
 	c.owner = owner.New(&c.loop, c.view, c.blockLease, c, log)
 }
 
--- a/internal/core/controller/controller_test.go
+++ b/internal/core/controller/controller_test.go
@@ -94,18 +94,18 @@
 		b.Machines = slices.DeleteFunc(b.Machines, func(n string) bool { return n[len(n)-1] == '7' }) // off every page
 		rec.Blocks[node] = b
 	}
-	c.leaseWriteInFlight = false
+	c.leaseWriter.inFlight = false
 	c.loop.Begin(now)
 	c.writeLease(rec, func() { t.Error("stored") })
-	if len(c.loop.Effects()) != 0 || c.leaseWriteInFlight {
-		t.Fatalf("%d effects, busy %v after a write that does not fit", len(c.loop.Effects()), c.leaseWriteInFlight)
+	if len(c.loop.Effects()) != 0 || c.leaseWriter.inFlight {
+		t.Fatalf("%d effects, busy %v after a write that does not fit", len(c.loop.Effects()), c.leaseWriter.inFlight)
 	}
 	for i := 7; i < 10000; i += 10 {
 		c.leader.MachineDeleted(fmt.Sprintf("host-%06d", i))
 	}
 	for i, most := range []int{1, 12} { // first the value alone, then as much as fits
 		changes := 0
-		c.leaseWriteInFlight = false
+		c.leaseWriter.inFlight = false
 		for _, e := range c.Step(now.Add(time.Duration(1+i)*6*time.Second), eventloop.Tick{}) {
 			if txn, ok := e.(eventloop.StateTxn); ok && txn.LeaseBudget {
 				changes = len(txn.Txn.Then)
--- /dev/null
+++ b/internal/core/controller/election.go
@@ -0,0 +1,77 @@
+package controller
+
+import (
+	"time"
+
+	"fawncove/internal/core/leader"
+	"fawncove/internal/wire"
+)
+
+const (
+	// leaderTimeout is how long the lease value may stay unchanged before another
+	// controller takes the lead: two missed publications.
+	leaderTimeout = 10 * time.Second
+	// candidateStagger is how much longer each controller waits than the one before
+	// it by name, so that they do not all try at the same moment.
+	candidateStagger = time.Second
+)
+
+// election is what the timeout of the leader and the leases of others count from.
+type election struct {
+	leaderSeenAt      time.Time // the last sign of a leader
+	appliedAt         time.Time // when the current lease value was first seen
+	previousAppliedAt time.Time // and the one before it
+}
+
+// leaseApplied notes that the lease value has changed.
+func (e *election) leaseApplied(now time.Time) {
+	e.leaderSeenAt = now
+	e.previousAppliedAt, e.appliedAt = e.appliedAt, now
+}
+
+// leaderResigned shortens the wait for the leader's timeout to that for the candidates
+// before this controller. The leader says so repeatedly, which must not put off those
+// whose turn comes later.
+func (e *election) leaderResigned(now time.Time) {
+	if at := now.Add(-leaderTimeout); at.Before(e.leaderSeenAt) {
+		e.leaderSeenAt = at
+	}
+}
+
+// campaign takes the lead when there is no leader, when this controller led before its
+// restart, or when the lease value has not changed for long.
+func (c *Core) campaign() {
+	if c.leader != nil || c.leaseWriter.inFlight || c.shuttingDown || c.loop.Now.Before(c.noBlockUntil) {
+		return
+	}
+	if c.leaseReader.unreadableVersion > c.view.LeaseVersion {
+		return // another controller leads, in a form that cannot be read here
+	}
+	ledBefore := c.view.Lease.Leader == c.view.Self
+	silence := c.loop.Now.Sub(c.election.leaderSeenAt)
+	if c.view.LeaseVersion != 0 && !ledBefore && silence < c.electionTimeout() {
+		return
+	}
+	c.writeLease(c.candidacy(), func() {})
+}
+
+// electionTimeout is how long this controller waits for a sign of the leader.
+func (c *Core) electionTimeout() time.Duration {
+	timeout := leaderTimeout
+	for name := range c.view.Peers {
+		if name < c.view.Self {
+			timeout += candidateStagger
+		}
+	}
+	return timeout
+}
+
+// candidacy is the lease value of a new term led by this controller.
+func (c *Core) candidacy() wire.LeaseRecord {
+	rec := c.view.Lease.Clone()
+	rec.Term++
+	rec.Leader, rec.Incarnation = c.view.Self, c.blockLease.Incarnation()
+	rec.Sequence++
+	leader.GrantAnew(&rec, c.view.Self, c.blockLease.Incarnation())
+	return rec
+}
--- a/internal/core/controller/lead.go
+++ b/internal/core/controller/leader.go
@@ -1,8 +1,6 @@
 package controller
 
 import (
-	"time"
-
 	"fawncove/internal/core/eventloop"
 	"fawncove/internal/core/leader"
 	"fawncove/internal/core/owner"
@@ -10,9 +8,6 @@
 	"fawncove/internal/wire"
 )
 
-// Here the core and its leader meet: what the core hands on to it, and what it
-// tells it of itself.
-
 // leaderHost is what the leader asks its own controller.
 type leaderHost struct {
 	*owner.Owner
@@ -20,14 +15,14 @@
 }
 
 // Renewal describes the controller as its next renewal would.
-func (l leaderHost) Renewal() *peerpb.Renewal { return l.core.Renewal() }
+func (h leaderHost) Renewal() *peerpb.Renewal { return h.core.Renewal() }
 
 // becomeLeader makes this controller the leader of a term.
 func (c *Core) becomeLeader(term uint64) {
 	c.log.Info("leading", "term", term)
 	c.stopLeading()
-	c.leader = leader.New(&c.loop, c.view, &c.leasePages, leaderHost{c.owner, c}, c.log, c.blockLease.Incarnation(), term, c.previousLeaseAppliedAt)
-	c.leader.PublishStored(c.leaseWriteSentAt)
+	c.leader = leader.New(&c.loop, c.view, &c.leaseReader.pages, leaderHost{c.owner, c}, c.log, c.blockLease.Incarnation(), term, c.election.previousAppliedAt)
+	c.leader.PublishStored(c.leaseWriter.sentAt)
 	c.view.IsLeader = true
 }
 
@@ -39,15 +34,11 @@
 	}
 }
 
-// handleRenewal takes in a controller's renewal.
+// handleRenewal handles the renewal of another controller.
 func (c *Core) handleRenewal(r *peerpb.Renewal) {
 	lease := &c.view.Lease
 	if c.leader == nil && r.GetResigned() && r.GetNode() == lease.Leader && r.GetIncarnation() > lease.Incarnation {
-		// Nobody leads: no need to wait that long. It says so again and again,
-		// which must not put off those whose turn comes later.
-		if at := c.loop.Now.Add(-leaderTimeout); at.Before(c.leaderSeenAt) {
-			c.leaderSeenAt = at
-		}
+		c.election.leaderResigned(c.loop.Now)
 	}
 	if c.leader == nil || r.GetNode() == c.view.Self {
 		return
@@ -74,13 +65,13 @@
 		c.blockLease.RenewalSent()
 		c.leader.RequestPublish()
 	}
-	if !c.leaseWriteInFlight && c.leader.TakePublishDue() {
+	if !c.leaseWriter.inFlight && c.leader.TakePublishDue() {
 		c.publishLease()
 	}
 	c.leader.RunAutoscaler()
 }
 
-// publishLease writes what the leader proposes.
+// publishLease writes the lease value that the leader proposes.
 func (c *Core) publishLease() {
 	own := c.Renewal()
 	c.owner.ReserveQuota(own)
@@ -88,16 +79,17 @@
 	c.writeLease(rec, stored)
 }
 
-// sendEndpoints tells a controller how to reach machines of its block.
+// sendEndpoints sends a controller the endpoints of machines of its block that its
+// renewal asks for.
 func (c *Core) sendEndpoints(r *peerpb.Renewal) {
-	var known []*peerpb.MachineInfo
 	names, err := wire.UnpackNames(r.GetUnknownEndpoints())
 	if err != nil {
 		c.log.Error("names in a renewal", "err", err)
 	}
+	var known []*peerpb.MachineInfo
 	for _, name := range names {
-		if s := c.leader.MachineInfo(name); s.GetEndpoint() != "" && c.view.HolderOf(name) == r.GetNode() {
-			known = append(known, s)
+		if info := c.leader.MachineInfo(name); info.GetEndpoint() != "" && c.view.HolderOf(name) == r.GetNode() {
+			known = append(known, info)
 		}
 	}
 	if len(known) > 0 {
@@ -106,18 +98,3 @@
 		c.loop.Emit(eventloop.PeerSend{To: r.GetNode(), Frame: f})
 	}
 }
-
-// quotaCheckInterval spaces the looks at whether others are short of a share.
-const quotaCheckInterval = 300 * time.Millisecond
-
-// requestQuotaChanges has a renewal sent when there is something to promise.
-func (c *Core) requestQuotaChanges() {
-	if c.loop.Now.Sub(c.quotaCheckedAt) < quotaCheckInterval {
-		return
-	}
-	c.quotaCheckedAt = c.loop.Now
-	c.owner.RequestQuotaRenewal()
-	if c.leader != nil && len(c.view.Lease.Shares) > 0 {
-		c.leader.RequestQuotaPublish()
-	}
-}
--- /dev/null
+++ b/internal/core/controller/lease_apply.go
@@ -0,0 +1,63 @@
+package controller
+
+import (
+	"fawncove/internal/wire"
+)
+
+// applyLease makes a newer lease value the current one, with what it means for this
+// controller's leadership and block.
+func (c *Core) applyLease(rec wire.LeaseRecord, version uint64) {
+	if version <= c.view.LeaseVersion || c.recovery != nil {
+		return
+	}
+	before := c.view.Lease.Blocks
+	c.view.ApplyLease(rec, version)
+	if c.leader != nil {
+		c.leader.LeaseApplied(before)
+	}
+	c.election.leaseApplied(c.loop.Now)
+	c.followLeadership(&rec)
+	c.followBlock(&rec)
+}
+
+// followLeadership leads, or stops leading, as a lease value says.
+func (c *Core) followLeadership(rec *wire.LeaseRecord) {
+	if rec.Leader == c.view.Self && rec.Incarnation == c.blockLease.Incarnation() {
+		if c.leader == nil || c.leader.Term() != rec.Term {
+			c.becomeLeader(rec.Term)
+		}
+	} else if c.leader != nil {
+		c.log.Info("no longer leader", "leader", rec.Leader, "term", rec.Term)
+		c.stopLeading()
+	}
+}
+
+// followBlock takes over the block that a lease value names for this process, or drops
+// the one it had.
+func (c *Core) followBlock(rec *wire.LeaseRecord) {
+	b, ok := rec.Blocks[c.view.Self]
+	if !ok || b.Incarnation != c.blockLease.Incarnation() {
+		if c.blockLease.Held() {
+			c.log.Info("block lost", "machines", c.owner.MachineCount())
+			c.loseBlock()
+		}
+		if ok && !c.shuttingDown {
+			// A process that is back within a moment may have started by a clock that
+			// stood lower than its predecessor's. Its renewals would be ignored then.
+			c.blockLease.RaiseIncarnation(b.Incarnation)
+		}
+		c.blockLease.RequestRenewal()
+		return
+	}
+	changed := c.blockLease.Renewed(b)
+	c.owner.ApplyBlock(b)
+	if changed && c.owner.ReleasesMachines() {
+		c.blockLease.RequestRenewal() // only machines released under this grant count
+	}
+}
+
+// loseBlock forgets everything that depended on the right to a block.
+func (c *Core) loseBlock() {
+	c.blockLease.Release()
+	c.owner.ReleaseBlock()
+}
--- a/internal/core/controller/level.go
+++ b/internal/core/controller/level.go
@@ -1,14 +1,12 @@
 package controller
 
 import (
-	"errors"
 	"slices"
 	"strings"
 	"time"
 
 	"fawncove/internal/core/cluster"
 	"fawncove/internal/core/eventloop"
-	"fawncove/internal/core/feature"
 	"fawncove/internal/wire"
 )
 
@@ -57,35 +55,6 @@
 // Incompatible tells why this version cannot serve this cluster, or nil.
 func (c *Core) Incompatible() error { return c.incompatible }
 
-// rejectLeaseValue is told of a lease value that cannot be read. One in a form or at a
-// level that this version does not know says that the cluster has moved on: from
-// here on this process serves nobody and holds no right. Any other may be
-// damaged; it grants nothing, and what was read before it goes on until it lapses.
-func (c *Core) rejectLeaseValue(version uint64, err error) {
-	if version == c.unreadableVersion {
-		return
-	}
-	c.unreadableVersion = version
-	if !c.view.Params.Levels.KnowsLevels() || !isIncompatible(err) {
-		c.log.Error("lease value", "err", err)
-		return
-	}
-	if c.incompatible != nil {
-		return
-	}
-	c.incompatible = err
-	c.log.Error("refuses to serve", "version", c.view.Params.Version, "err", err)
-	c.stopLeading()
-	c.loseBlock()
-}
-
-// isIncompatible tells an unknown form or level from damage.
-func isIncompatible(err error) bool {
-	var form wire.FormError
-	var lvl feature.LevelError
-	return errors.As(err, &form) || errors.As(err, &lvl)
-}
-
 // levelRaiseConditions are the further conditions of a value that raises the level: each
 // controller's record, and the operator's word, must be those that the leader
 // decided by. A controller that has been replaced meanwhile stops the raise,
--- a/internal/core/controller/read.go
+++ b/internal/core/controller/read.go
@@ -103,9 +103,9 @@
 	c.owner.ChangesKnown(r.revision, r.startedAt)
 	// An earlier process may have answered any cancellation that is stored.
 	c.cancelledRevision = max(c.cancelledRevision, r.revision, 1)
-	c.leaderSeenAt = c.loop.Now
+	c.election.leaderSeenAt = c.loop.Now
 	c.outgrowEarlierProcess()
-	c.nextRenewalAt = c.loop.Now
+	c.renewal.nextAt = c.loop.Now
 	c.log.Info("state read", "jobs", len(c.owner.Jobs()), "revision", r.revision)
 	c.watchState()
 	c.campaign()
