--- a/internal/core/controller/controller.go
+++ b/internal/core/controller/controller.go
@@ -52,7 +52,6 @@
 
 	// The state's generation, and what happens when it has lost data.
 	storedGeneration cluster.Stored[recovery.Generation]
-	highestRevision  uint64 // highest revision that an answer has shown
 	recovery         *recoveryRun
 	previousState    recovery.KnownState // of before a rebuild, until everything is read again
 	startup          startupCheck
--- /dev/null
+++ b/internal/core/controller/generation.go
@@ -0,0 +1,120 @@
+package controller
+
+import (
+	"slices"
+
+	"fawncove/internal/core/cluster"
+	"fawncove/internal/core/eventloop"
+	"fawncove/internal/core/recovery"
+	"fawncove/internal/peerpb"
+	"fawncove/internal/wire"
+)
+
+// generationKey is where the generation of the state is stored, see
+// recovery.Generation.
+const generationKey = recovery.Key
+
+// generation is that of the state this controller works with.
+func (c *Core) generation() uint64 { return max(1, c.storedGeneration.Value.Generation) }
+
+// readGeneration reads the generation of the state.
+func (c *Core) readGeneration(done func(outcome eventloop.Outcome)) {
+	c.loop.Emit(eventloop.StateGet{Key: generationKey, ID: c.loop.Call(func(d eventloop.Completion) {
+		if d.Outcome == eventloop.Succeeded {
+			c.applyGeneration(d.Pair.Value, d.Pair.Version)
+		}
+		c.startup.generationRead = c.startup.generationRead || readOrAbsent(d.Outcome)
+		done(d.Outcome)
+	})})
+}
+
+// applyGeneration applies the generation of the state. One that is newer, or that is
+// being recovered, says that the state has lost data.
+func (c *Core) applyGeneration(value []byte, version uint64) {
+	if version <= c.storedGeneration.Version {
+		return
+	}
+	g, err := recovery.Decode(value)
+	if err != nil {
+		c.log.Error("generation", "err", err)
+		return
+	}
+	if c.state.loaded() && c.recovery == nil {
+		switch {
+		case g.Generation > c.generation():
+			c.startRecovery("it was rebuilt without this controller", c.loop.Watermark(), version)
+		case g.Rebuilding:
+			c.startRecovery("it is being rebuilt", c.loop.Watermark(), version)
+		}
+	}
+	if c.recovery == nil { // during a recovery the one that lost data is compared with
+		c.storedGeneration = cluster.Stored[recovery.Generation]{Value: g, Version: version}
+	}
+}
+
+// addGeneration writes into a frame what this controller knows of the state: its
+// generation and revision, or how far its recovery has come.
+func (c *Core) addGeneration(f *peerpb.Frame) {
+	if !c.view.Params.Levels.KnowsLevels() || (!c.state.loaded() && c.recovery == nil) {
+		return
+	}
+	r := c.recovery
+	if r == nil {
+		f.Generation, f.Revision = c.generation(), c.loop.Watermark()
+		return
+	}
+	f.Generation, f.StateLost, f.StateRestored = r.generation, true, r.restored
+	raw, err := wire.Encode(c.leaseView())
+	if err != nil {
+		c.log.Error("view of the leases", "err", err)
+	}
+	f.RecoveryView = raw
+}
+
+// leaseView is what this controller knows of leases and machines.
+func (c *Core) leaseView() recovery.View {
+	v := recovery.ViewOf(c.view.Lease)
+	v.Machines, v.Token = c.owner.ForeignWorkers(), c.owner.Token()
+	slices.Sort(v.Machines)
+	return v
+}
+
+// handlePeerGeneration handles what a peer says of the state: the revision that it has
+// seen, that the state has lost data, or that it was recovered without this controller.
+func (c *Core) handlePeerGeneration(p *cluster.Peer, rawView []byte) {
+	p.RecoveryView = c.decodeView(rawView)
+	if c.recovery == nil && c.startup.generationRead && p.Generation == c.generation() && !p.StateLost {
+		c.loop.RaiseWatermark(p.Revision) // calls made from now on are answered with it at least
+	}
+	switch {
+	case c.recovery != nil || !c.state.loaded() || p.Generation == 0:
+	case p.StateLost && p.Generation == c.generation():
+		c.startRecovery("another controller says so", c.loop.Watermark(), 0)
+	case !p.StateLost && p.Generation > c.generation():
+		c.startRecovery("it was rebuilt without this controller", c.loop.Watermark(), 0)
+	}
+}
+
+// decodeView decodes a peer's view of the leases; nil if there is none.
+func (c *Core) decodeView(raw []byte) *recovery.View {
+	if len(raw) == 0 {
+		return nil
+	}
+	v := new(recovery.View)
+	if err := wire.Decode(raw, v); err != nil {
+		c.log.Error("another controller's view of the leases", "err", err)
+		return nil
+	}
+	return v
+}
+
+// peerRecovering reports whether a peer recovers the generation that was read here: a
+// process that has just started has nothing to add, and waits.
+func (c *Core) peerRecovering() bool {
+	for name, p := range c.view.Peers {
+		if p.StateLost && p.Generation >= c.generation() && c.view.IsReachable(name, c.loop.Now) {
+			return true
+		}
+	}
+	return false
+}
--- /dev/null
+++ b/internal/core/controller/recovery_write.go
@@ -0,0 +1,156 @@
+package controller
+
+import (
+	"strconv"
+	"time"
+
+	"fawncove/internal/core/cluster"
+	"fawncove/internal/core/eventloop"
+	"fawncove/internal/core/leasevalue"
+	"fawncove/internal/core/owner"
+	"fawncove/internal/core/recovery"
+	"fawncove/internal/wire"
+)
+
+// firstRestoredPage is the number of the first page of completed tasks that a recovery
+// stores: beside the pages of this controller's processes, which count from 0.
+const firstRestoredPage = 500
+
+// restoreMissing stores what is known here and not there. Once nothing is missing any
+// more it lets the next controller do the same.
+func (c *Core) restoreMissing(s *storedState) {
+	r := c.recovery
+	txns, err := c.missingWrites(s)
+	if err != nil {
+		c.log.Error("rebuilding", "err", err)
+		return
+	}
+	if len(txns) == 0 {
+		r.restored, c.nextHeartbeatAt = true, time.Time{} // the next one waits for it
+		c.heartbeatPeers()
+		return
+	}
+	r.inFlight = true
+	w := &restoreWrites{core: c, run: r, txns: txns}
+	w.sendNext()
+}
+
+// missingWrites returns the transactions that store what is known here and not there.
+func (c *Core) missingWrites(s *storedState) ([]wire.Txn, error) {
+	known, limits := c.knownState(), recovery.Limits{Ops: c.view.Settings.Cluster.State.TxnOps, Bytes: maxRestoreTxnBytes}
+	txns, jobs, ends, err := recovery.MissingWrites(&known, &s.records, recovery.Keys{Job: jobPrefix, End: endPrefix}, limits)
+	if err != nil {
+		return nil, err
+	}
+	txns = append(txns, c.missingPages(s, &known)...)
+	if len(txns) > 0 {
+		c.recovery.jobs, c.recovery.ends = max(c.recovery.jobs, jobs), max(c.recovery.ends, ends)
+		c.log.Info("rebuilding", "jobs", jobs, "ends", ends, "transactions", len(txns))
+	}
+	return txns, nil
+}
+
+// missingPages returns the transactions that store completed tasks, each a page under a
+// key that is free.
+func (c *Core) missingPages(s *storedState, known *recovery.KnownState) (txns []wire.Txn) {
+	n := 0
+	for _, entries := range recovery.CompletedTaskPages(known, &s.records, c.owner.PageBytes()) {
+		for s.completedPages[c.completedPageKey(n)] {
+			n++
+		}
+		key := c.completedPageKey(n)
+		s.completedPages[key] = true
+		txns = append(txns, wire.Txn{If: []wire.Condition{{Key: key}}, Then: []wire.Op{{Put: key, Value: c.owner.PageValue(entries)}}})
+	}
+	return txns
+}
+
+// completedPageKey is where this controller stores page n of the completed tasks that
+// it knew of.
+func (c *Core) completedPageKey(n int) string {
+	return owner.PagePrefix + c.view.Self + "/" + strconv.Itoa(firstRestoredPage+n)
+}
+
+// restoreWrites stores transactions one after the other.
+type restoreWrites struct {
+	core *Core
+	run  *recoveryRun
+	txns []wire.Txn // still to be stored
+}
+
+func (w *restoreWrites) sendNext() {
+	w.core.loop.Emit(eventloop.StateTxn{Txn: w.txns[0], ID: w.core.loop.Call(w.completed)})
+}
+
+func (w *restoreWrites) completed(d eventloop.Completion) {
+	if w.core.recovery != w.run {
+		return
+	}
+	if d.Outcome == eventloop.Succeeded && len(w.txns) > 1 {
+		w.txns = w.txns[1:]
+		w.sendNext()
+		return
+	}
+	// All stored, or something is not as it was found: the next step reads again.
+	w.run.stepDone(w.core.loop.Now)
+}
+
+// writeRecoveredLease writes the lease value and the generation that the state goes on
+// with.
+func (c *Core) writeRecoveredLease(s *storedState) {
+	r := c.recovery
+	if s.generation.Generation > r.generation {
+		return // another controller has; the next step sees it
+	}
+	c.blockLease.RaiseIncarnation(max(s.lease.Incarnation, s.lease.Blocks[c.view.Self].Incarnation, c.view.Lease.Blocks[c.view.Self].Incarnation))
+	rec := c.mergeLease(s)
+	ops := []wire.Op{{Put: leaseKey, Value: rec}}
+	if rec.Form >= leasevalue.FormPages {
+		pending, err := s.leasePages.Write(&rec, c.view.Settings.ValueLimits())
+		if err != nil {
+			c.log.Error("lease value", "err", err)
+			return
+		}
+		ops = pending.Ops
+	}
+	g := c.nextGeneration(len(rec.Blocks[c.view.Self].Unreconciled))
+	ops = append(ops, wire.Op{Put: generationKey, Value: g})
+	conds := []wire.Condition{{Key: leaseKey, Version: s.leaseVersion}, {Key: generationKey, Version: s.generationVersion}}
+	r.inFlight = true
+	c.loop.Emit(eventloop.StateTxn{LeaseBudget: true, Txn: wire.Txn{If: conds, Then: ops}, ID: c.loop.Call(func(d eventloop.Completion) {
+		r.stepDone(c.loop.Now)
+		if d.Outcome == eventloop.Succeeded && c.recovery == r {
+			c.log.Info("state rebuilt", "generation", g.Generation, "jobs", g.Jobs, "ends", g.Ends, "machines", g.Machines,
+				"term", rec.Term, "took", c.loop.Now.Sub(r.startedAt))
+			c.restart()
+		}
+	})})
+}
+
+// mergeLease returns the lease value that the state goes on with, of what every
+// recovering controller knows and what is stored. A machine that only the newest value
+// names may run tasks already, and whoever has read that value need not be the one that
+// writes.
+func (c *Core) mergeLease(s *storedState) wire.LeaseRecord {
+	own, stored := c.leaseView(), recovery.ViewOf(s.lease)
+	views := []*recovery.View{&own, &stored}
+	c.recoveringPeers(func(_ string, p *cluster.Peer) {
+		if p.RecoveryView != nil {
+			views = append(views, p.RecoveryView)
+		}
+	})
+	teamLimit := func(team string) wire.Share {
+		limit := c.view.LimitOf(team)
+		return wire.Share{CPUs: int(limit.CPUs), GPUs: int(limit.GPUs)}
+	}
+	return recovery.MergeLease(c.view.Self, c.blockLease.Incarnation(), c.recovery.generation+1, teamLimit, views...)
+}
+
+// nextGeneration describes the generation that begins with this recovery, in which so
+// many machines are to be reconciled.
+func (c *Core) nextGeneration(machines int) recovery.Generation {
+	r := c.recovery
+	return recovery.Generation{Form: recovery.GenerationForm, Generation: r.generation + 1, Controller: c.view.Self,
+		RevisionSeen: r.revisionSeen, RevisionFound: r.revisionFound, Jobs: r.jobs, Ends: r.ends, Machines: machines,
+		RecoveredAtMs: c.loop.Now.UnixMilli(), TookMs: c.loop.Now.Sub(r.startedAt).Milliseconds()}
+}
--- a/internal/core/eventloop/eventloop.go
+++ b/internal/core/eventloop/eventloop.go
@@ -15,57 +15,66 @@
 type Loop struct {
 	Now time.Time // when the event happened
 
-	// Generation is noted with each call, see Marked.
-	Generation uint64
-
-	out     []Effect
-	next    uint64
-	waiting map[uint64]pending
+	watermark uint64 // see Watermark
+	effects   []Effect
+	lastCall  uint64 // id of the newest call
+	calls     map[uint64]call
 }
 
-// pending is an open call.
-type pending struct {
-	f    func(Completion)
-	mark uint64
+// call is an open call.
+type call struct {
+	completed func(Completion)
+	watermark uint64 // when it was made
 }
 
 // Begin starts a step at now.
-func (l *Loop) Begin(now time.Time) { l.Now, l.out = now, nil }
+func (l *Loop) Begin(now time.Time) { l.Now, l.effects = now, nil }
 
-// Effects are what the step has asked for so far.
-func (l *Loop) Effects() []Effect { return l.out }
+// Effects returns what the step has asked for so far, in the order in which it did.
+func (l *Loop) Effects() []Effect { return l.effects }
 
 // Emit asks for an effect.
-func (l *Loop) Emit(e Effect) { l.out = append(l.out, e) }
+func (l *Loop) Emit(e Effect) { l.effects = append(l.effects, e) }
 
-// Call registers f for the completion of an effect and returns its id.
-func (l *Loop) Call(f func(Completion)) uint64 {
-	if l.waiting == nil {
-		l.waiting = map[uint64]pending{}
+// Call registers completed for the completion of an effect, and returns the ID that the
+// effect is to carry.
+func (l *Loop) Call(completed func(Completion)) uint64 {
+	if l.calls == nil {
+		l.calls = map[uint64]call{}
 	}
-	l.next++
-	l.waiting[l.next] = pending{f, l.Generation}
-	return l.next
+	l.lastCall++
+	l.calls[l.lastCall] = call{completed, l.watermark}
+	return l.lastCall
 }
 
-// Complete hands a completion to whom it is for. It tells whether anybody
-// still waited.
+// Complete hands a completion to the call that it belongs to, and reports whether that
+// was still open.
 func (l *Loop) Complete(d Completion) bool {
-	p, ok := l.waiting[d.ID]
+	open, ok := l.calls[d.ID]
 	if !ok {
 		return false
 	}
-	delete(l.waiting, d.ID)
-	p.f(d)
+	delete(l.calls, d.ID)
+	open.completed(d)
 	return true
 }
 
-// CallGeneration is the mark that stood when an open call was made; 0 when nobody waits
-// for it.
-func (l *Loop) CallGeneration(id uint64) uint64 { return l.waiting[id].mark }
+// DropCalls drops all open calls: their completions are ignored.
+func (l *Loop) DropCalls() { l.calls = nil }
+
+// Watermark is the highest revision that the state service has shown.
+func (l *Loop) Watermark() uint64 { return l.watermark }
+
+// RaiseWatermark notes a revision that the state service has shown. Calls made from now
+// on are answered with it at least, unless the state loses data.
+func (l *Loop) RaiseWatermark(revision uint64) { l.watermark = max(l.watermark, revision) }
+
+// ResetWatermark forgets all revisions seen, which say nothing about the state any more.
+func (l *Loop) ResetWatermark() { l.watermark = 0 }
 
-// DropCalls drops all open calls: nobody hears of their completion.
-func (l *Loop) DropCalls() { l.waiting = nil }
+// CallWatermark returns the watermark of when an open call was made; 0 when there is no
+// such call.
+func (l *Loop) CallWatermark(id uint64) uint64 { return l.calls[id].watermark }
 
 // Reply answers a request.
 func (l *Loop) Reply(req uint64, code ReplyCode, body any) {
