--- a/internal/core/controller/controller_test.go
+++ b/internal/core/controller/controller_test.go
@@ -77,7 +77,7 @@
 		{"urgent, even blocks, one has the image", cluster.Capacity{Free: 50, Size: 300},
 			cluster.Capacity{Free: 50, Size: 300, Images: map[string]float64{"a": 40}}, 50, 50, "urgent", "a", "free #2"},
 	} {
-		core.capacity, core.spareCPUs, p.Capacity, p.SpareCPUs = c.own, c.ownSpare, c.other, c.spare
+		core.load.capacity, core.load.spareCPUs, p.Capacity, p.SpareCPUs = c.own, c.ownSpare, c.other, c.spare
 		if got := core.chooseShard(job(c.priority, c.image)); got != c.want {
 			t.Errorf("%s: filed under %s, want %s", c.name, got, c.want)
 		}
--- a/internal/core/controller/leader.go
+++ b/internal/core/controller/leader.go
@@ -94,7 +94,7 @@
 	}
 	if len(known) > 0 {
 		f := c.newFrame()
-		f.SpareCpus, f.KnownMachines = c.spareCPUs, known
+		f.SpareCpus, f.KnownMachines = c.load.spareCPUs, known
 		c.loop.Emit(eventloop.PeerSend{To: r.GetNode(), Frame: f})
 	}
 }
--- a/internal/core/controller/read.go
+++ b/internal/core/controller/read.go
@@ -102,7 +102,7 @@
 	// The first page may be old: a change since then may be missing on any page.
 	c.owner.ChangesKnown(r.revision, r.startedAt)
 	// An earlier process may have answered any cancellation that is stored.
-	c.cancelledRevision = max(c.cancelledRevision, r.revision, 1)
+	c.cancellations.mayHaveAnswered(max(r.revision, 1))
 	c.election.leaderSeenAt = c.loop.Now
 	c.outgrowEarlierProcess()
 	c.renewal.nextAt = c.loop.Now
--- a/internal/core/controller/watch.go
+++ b/internal/core/controller/watch.go
@@ -130,7 +130,7 @@
 // applyEnd notes that a job has ended. An end is final.
 func (c *Core) applyEnd(id string, rec wire.EndRecord, version uint64) {
 	if rec.State == wire.Cancelled {
-		c.cancelledRevision = max(c.cancelledRevision, version)
+		c.cancellations.mayHaveAnswered(version)
 	}
 	if c.recovery != nil {
 		// Decided on what is left of the state, by a record of a job that may have
