--- a/internal/core/controller/controller.go
+++ b/internal/core/controller/controller.go
@@ -120,7 +120,7 @@
 func (c *Core) noteStandstill() {
 	now := c.loop.Now
 	if gap := now.Sub(c.lastStepAt); gap > maxStepGap && !c.lastStepAt.IsZero() {
-		c.log.Info("stood still", "for", gap.Round(time.Millisecond))
+		c.log.Info("resumed after standstill", "duration", gap.Round(time.Millisecond))
 		c.owner.ResumedAfter(gap)
 		c.resumedAt = now
 	}
--- a/internal/core/controller/generation.go
+++ b/internal/core/controller/generation.go
@@ -36,7 +36,7 @@
 	}
 	g, err := recovery.Decode(value)
 	if err != nil {
-		c.log.Error("generation", "err", err)
+		c.log.Error("cannot decode generation", "err", err)
 		return
 	}
 	if c.state.loaded() && c.recovery == nil {
@@ -66,7 +66,7 @@
 	f.Generation, f.StateLost, f.StateRestored = r.generation, true, r.restored
 	raw, err := wire.Encode(c.leaseView())
 	if err != nil {
-		c.log.Error("view of the leases", "err", err)
+		c.log.Error("cannot encode recovery view", "err", err)
 	}
 	f.RecoveryView = raw
 }
@@ -102,7 +102,7 @@
 	}
 	v := new(recovery.View)
 	if err := wire.Decode(raw, v); err != nil {
-		c.log.Error("another controller's view of the leases", "err", err)
+		c.log.Error("cannot decode recovery view", "err", err)
 		return nil
 	}
 	return v
--- a/internal/core/controller/leader.go
+++ b/internal/core/controller/leader.go
@@ -19,7 +19,7 @@
 
 // becomeLeader makes this controller the leader of a term.
 func (c *Core) becomeLeader(term uint64) {
-	c.log.Info("leading", "term", term)
+	c.log.Info("leadership won", "term", term)
 	c.stopLeading()
 	c.leader = leader.New(&c.loop, c.view, &c.leaseReader.pages, leaderHost{c.owner, c}, c.log, c.blockLease.Incarnation(), term, c.election.previousAppliedAt)
 	c.leader.PublishStored(c.leaseWriter.sentAt)
@@ -44,7 +44,7 @@
 		return
 	}
 	if c.view.Peers[r.GetNode()] == nil {
-		c.log.Warn("renewal from an unknown controller", "node", r.GetNode())
+		c.log.Warn("renewal from unknown controller", "controller", r.GetNode())
 		return
 	}
 	if !c.leader.HandleRenewal(r) {
@@ -52,7 +52,7 @@
 	}
 	c.view.Peers[r.GetNode()].UpdateTeamUse(r.GetTeams())
 	c.sendEndpoints(r)
-	c.log.Debug("renewal", "node", r.GetNode(), "number", r.GetNumber(), "heard", len(r.GetReconciled()), "demand", len(r.GetDemand()))
+	c.log.Debug("renewal received", "controller", r.GetNode(), "number", r.GetNumber(), "reconciled", len(r.GetReconciled()), "demand", len(r.GetDemand()))
 	c.runLeader()
 }
 
@@ -84,7 +84,7 @@
 func (c *Core) sendEndpoints(r *peerpb.Renewal) {
 	names, err := wire.UnpackNames(r.GetUnknownEndpoints())
 	if err != nil {
-		c.log.Error("names in a renewal", "err", err)
+		c.log.Error("cannot decode names in renewal", "controller", r.GetNode(), "err", err)
 	}
 	var known []*peerpb.MachineInfo
 	for _, name := range names {
--- a/internal/core/controller/lease_apply.go
+++ b/internal/core/controller/lease_apply.go
@@ -27,7 +27,7 @@
 			c.becomeLeader(rec.Term)
 		}
 	} else if c.leader != nil {
-		c.log.Info("no longer leader", "leader", rec.Leader, "term", rec.Term)
+		c.log.Info("leadership lost", "leader", rec.Leader, "term", rec.Term)
 		c.stopLeading()
 	}
 }
@@ -38,7 +38,7 @@
 	b, ok := rec.Blocks[c.view.Self]
 	if !ok || b.Incarnation != c.blockLease.Incarnation() {
 		if c.blockLease.Held() {
-			c.log.Info("block lost", "machines", c.owner.MachineCount())
+			c.log.Info("block lease lost", "machines", c.owner.MachineCount())
 			c.loseBlock()
 		}
 		if ok && !c.shuttingDown {
--- a/internal/core/controller/lease_read.go
+++ b/internal/core/controller/lease_read.go
@@ -73,7 +73,7 @@
 // applyLeasePage decodes a page beside the lease value, which may have waited for it.
 func (c *Core) applyLeasePage(key string, value []byte) {
 	if _, err := c.leaseReader.pages.ReadPage(key, value); err != nil {
-		c.log.Error("lease page", "err", err)
+		c.log.Error("cannot decode lease page", "err", err)
 	}
 	if c.leaseReader.incomplete != nil {
 		c.applyLeaseValue(*c.leaseReader.incomplete)
@@ -90,14 +90,14 @@
 	}
 	c.leaseReader.unreadableVersion = version
 	if !c.view.Params.Levels.KnowsLevels() || !isIncompatible(err) {
-		c.log.Error("lease value", "err", err)
+		c.log.Error("cannot decode lease value", "err", err)
 		return
 	}
 	if c.incompatible != nil {
 		return
 	}
 	c.incompatible = err
-	c.log.Error("refuses to serve", "version", c.view.Params.Version, "err", err)
+	c.log.Error("version incompatible with the cluster", "version", c.view.Params.Version, "err", err)
 	c.stopLeading()
 	c.loseBlock()
 }
--- a/internal/core/controller/lease_write.go
+++ b/internal/core/controller/lease_write.go
@@ -43,7 +43,7 @@
 	ops, err := w.encode()
 	if err != nil {
 		// What is published fits a write, except after several takeovers at once.
-		c.log.Error("lease value", "err", err)
+		c.log.Error("cannot encode lease value", "err", err)
 		c.leaseWriter.inFlight = false
 		if c.leader != nil {
 			c.leader.ValueTooLarge()
--- a/internal/core/controller/levels.go
+++ b/internal/core/controller/levels.go
@@ -89,7 +89,7 @@
 		err = wire.FormError{What: key, Form: f}
 	}
 	if err != nil {
-		c.log.Error("level", "key", key, "err", err)
+		c.log.Error("cannot decode level record", "key", key, "err", err)
 		return cluster.Stored[T]{Version: version}
 	}
 	return out
--- a/internal/core/controller/loss.go
+++ b/internal/core/controller/loss.go
@@ -32,7 +32,7 @@
 
 // startRecovery notes that the state has lost data and starts to recover it, or starts
 // over when it has lost data once more meanwhile.
-func (c *Core) startRecovery(why string, seen, found uint64) {
+func (c *Core) startRecovery(reason string, seen, found uint64) {
 	if c.recovery != nil {
 		c.recovery.lostAgain(c.loop.Now)
 		c.loop.ResetWatermark()
@@ -41,7 +41,7 @@
 	if !c.canRecover() {
 		return
 	}
-	c.log.Error("the state has lost data", "why", why, "seen", seen, "found", found, "generation", c.generation(),
+	c.log.Error("the state has lost data", "reason", reason, "revision_seen", seen, "revision_found", found, "generation", c.generation(),
 		"jobs", len(c.owner.Jobs()), "ends", len(c.ended.records))
 	c.recovery = &recoveryRun{generation: c.generation(), revisionSeen: seen, revisionFound: found, startedAt: c.loop.Now}
 	c.loop.ResetWatermark()
--- a/internal/core/controller/peers.go
+++ b/internal/core/controller/peers.go
@@ -90,11 +90,11 @@
 // version reads.
 func (c *Core) acceptsFrame(p *cluster.Peer, f *peerpb.Frame) bool {
 	if p == nil {
-		c.log.Warn("frame from an unknown peer", "from", f.GetFrom())
+		c.log.Warn("frame from unknown controller", "controller", f.GetFrom())
 		return false
 	}
 	if c.view.Params.Levels.KnowsLevels() && (f.GetForm() > frameForm || f.GetRenewal().GetForm() > renewalForm) {
-		c.log.Warn("frame in a form that is unknown to this version", "from", f.GetFrom(), "form", f.GetForm(), "renewal", f.GetRenewal().GetForm())
+		c.log.Warn("frame form unknown to this version", "controller", f.GetFrom(), "form", f.GetForm(), "renewal_form", f.GetRenewal().GetForm())
 		return false
 	}
 	return true
--- a/internal/core/controller/read.go
+++ b/internal/core/controller/read.go
@@ -27,7 +27,7 @@
 
 func (r *stateReading) fail(what string, outcome eventloop.Outcome) {
 	c := r.core
-	c.log.Info("state service does not answer", "reading", what, "outcome", outcome)
+	c.log.Info("state read failed", "reading", what, "outcome", outcome)
 	c.state.fail(c.loop.Now)
 }
 
--- a/internal/core/controller/recovery.go
+++ b/internal/core/controller/recovery.go
@@ -102,7 +102,7 @@
 		version = p.Version
 		var err error
 		if g, err = recovery.Decode(p.Value); err != nil {
-			c.log.Error("generation", "err", err)
+			c.log.Error("cannot decode generation", "err", err)
 			r.stepDone(c.loop.Now)
 			return
 		}
@@ -117,7 +117,7 @@
 		r.stepDone(c.loop.Now)
 	case stepRestart:
 		if !r.restored { // logged, and not made up for: see mayAddRecords
-			c.log.Error("the state was rebuilt without this controller, and takes nothing from it any more", "generation", g.Generation, "known", len(c.owner.Jobs()))
+			c.log.Error("state recovered without this controller", "generation", g.Generation, "jobs", len(c.owner.Jobs()))
 		}
 		c.restart()
 	case stepRestore:
--- a/internal/core/controller/recovery_read.go
+++ b/internal/core/controller/recovery_read.go
@@ -80,7 +80,7 @@
 		r.addCompletedTasks(p)
 	case strings.HasPrefix(p.Key, leasevalue.PagePrefix):
 		if _, err := s.leasePages.ReadPage(p.Key, p.Value); err != nil {
-			r.core.log.Error("lease page", "err", err)
+			r.core.log.Error("cannot decode lease page", "err", err)
 		}
 	case p.Key == leaseKey:
 		r.leaseValue, s.leaseVersion = p.Value, p.Version
@@ -88,7 +88,7 @@
 		s.generationVersion = p.Version
 		var err error
 		if s.generation, err = recovery.Decode(p.Value); err != nil {
-			r.core.log.Error("generation", "err", err)
+			r.core.log.Error("cannot decode generation", "err", err)
 		}
 	}
 }
@@ -96,7 +96,7 @@
 func (r *storedStateReading) addEnd(p wire.Pair) {
 	var end wire.EndRecord
 	if err := wire.Decode(p.Value, &end); err != nil {
-		r.core.log.Error("end record", "key", p.Key, "err", err)
+		r.core.log.Error("cannot decode end record", "key", p.Key, "err", err)
 	}
 	r.state.records.Ends[p.Key[len(endPrefix):]] = recovery.StoredEnd{State: end.State, Version: p.Version}
 }
@@ -123,7 +123,7 @@
 	}
 	rec, err := r.state.leasePages.Read(r.leaseValue)
 	if err != nil {
-		r.core.log.Error("lease value", "err", err)
+		r.core.log.Error("cannot decode lease value", "err", err)
 		return
 	}
 	r.state.lease = rec
--- a/internal/core/controller/recovery_write.go
+++ b/internal/core/controller/recovery_write.go
@@ -22,7 +22,7 @@
 	r := c.recovery
 	txns, err := c.missingWrites(s)
 	if err != nil {
-		c.log.Error("rebuilding", "err", err)
+		c.log.Error("cannot encode state to restore", "err", err)
 		return
 	}
 	if len(txns) == 0 {
@@ -45,7 +45,7 @@
 	txns = append(txns, c.missingPages(s, &known)...)
 	if len(txns) > 0 {
 		c.recovery.jobs, c.recovery.ends = max(c.recovery.jobs, jobs), max(c.recovery.ends, ends)
-		c.log.Info("rebuilding", "jobs", jobs, "ends", ends, "transactions", len(txns))
+		c.log.Info("restoring state", "jobs", jobs, "ends", ends, "transactions", len(txns))
 	}
 	return txns, nil
 }
@@ -108,7 +108,7 @@
 	if rec.Form >= leasevalue.FormPages {
 		pending, err := s.leasePages.Write(&rec, c.view.Settings.ValueLimits())
 		if err != nil {
-			c.log.Error("lease value", "err", err)
+			c.log.Error("cannot encode lease value", "err", err)
 			return
 		}
 		ops = pending.Ops
@@ -120,8 +120,8 @@
 	c.loop.Emit(eventloop.StateTxn{LeaseBudget: true, Txn: wire.Txn{If: conds, Then: ops}, ID: c.loop.Call(func(d eventloop.Completion) {
 		r.stepDone(c.loop.Now)
 		if d.Outcome == eventloop.Succeeded && c.recovery == r {
-			c.log.Info("state rebuilt", "generation", g.Generation, "jobs", g.Jobs, "ends", g.Ends, "machines", g.Machines,
-				"term", rec.Term, "took", c.loop.Now.Sub(r.startedAt))
+			c.log.Info("state recovered", "generation", g.Generation, "jobs", g.Jobs, "ends", g.Ends, "machines", g.Machines,
+				"term", rec.Term, "duration", c.loop.Now.Sub(r.startedAt))
 			c.restart()
 		}
 	})})
--- a/internal/core/controller/renewal.go
+++ b/internal/core/controller/renewal.go
@@ -101,7 +101,7 @@
 	trimRenewal(r, int(storedRenewalShare*1024*c.view.Settings.Cluster.State.ValueKB*3/4)-storedRenewalOverhead)
 	raw, err := proto.MarshalOptions{Deterministic: true}.Marshal(r)
 	if err != nil {
-		c.log.Error("renewal", "err", err)
+		c.log.Error("cannot encode renewal", "err", err)
 		return
 	}
 	value := map[string]string{"pb": base64.StdEncoding.EncodeToString(raw)}
@@ -136,11 +136,11 @@
 	}
 	r, err := decodeStoredRenewal(value)
 	if err != nil {
-		c.log.Error("stored renewal", "err", err)
+		c.log.Error("cannot decode stored renewal", "err", err)
 		return
 	}
 	if r.GetForm() > renewalForm {
-		c.log.Warn("renewal in a form that is unknown to this version", "node", r.GetNode(), "form", r.GetForm())
+		c.log.Warn("renewal form unknown to this version", "controller", r.GetNode(), "form", r.GetForm())
 		return
 	}
 	c.handleRenewal(r)
--- a/internal/core/controller/startup.go
+++ b/internal/core/controller/startup.go
@@ -66,7 +66,7 @@
 	case c.startup.abandonedSince.IsZero():
 		c.startup.abandonedSince = c.loop.Now
 	case c.loop.Now.Sub(c.startup.abandonedSince) > abandonedRecoveryTimeout:
-		c.log.Warn("nobody goes on with the rebuild of the state", "generation", c.generation())
+		c.log.Warn("taking over abandoned recovery", "generation", c.generation())
 		c.recovery = &recoveryRun{generation: c.generation(), startedAt: c.loop.Now}
 	}
 	stale := !c.startup.staleAnswerAt.IsZero() && c.loop.Now.Sub(c.startup.staleAnswerAt) < staleAnswerWait
--- a/internal/core/controller/stepdown.go
+++ b/internal/core/controller/stepdown.go
@@ -69,9 +69,9 @@
 	}
 	switch {
 	case c.isolatedFromState():
-		c.log.Info("resigned, the state service refuses this controller alone", "machines", c.owner.MachineCount(), "led", c.leader != nil)
+		c.log.Info("stepped down", "reason", "state service unreachable from here only", "machines", c.owner.MachineCount(), "led", c.leader != nil)
 	case c.workersReachOnlyOthers():
-		c.log.Info("resigned, the workers reach others but not this controller", "machines", c.owner.MachineCount(), "led", c.leader != nil)
+		c.log.Info("stepped down", "reason", "workers report to others only", "machines", c.owner.MachineCount(), "led", c.leader != nil)
 		c.noBlockUntil = c.loop.Now.Add(stepDownPause)
 	default:
 		return
@@ -95,7 +95,7 @@
 		return
 	}
 	c.shuttingDown = true
-	c.log.Info("leaving", "machines", c.owner.MachineCount(), "leads", c.leader != nil)
+	c.log.Info("shutting down", "machines", c.owner.MachineCount(), "led", c.leader != nil)
 	c.stepDown()
 	c.renewBlockLease()
 }
--- a/internal/core/controller/submit.go
+++ b/internal/core/controller/submit.go
@@ -168,7 +168,7 @@
 	if envelope {
 		env, err := wire.Wrap(s.rec, c.view.Lease.Generation, 0)
 		if err != nil {
-			c.log.Error("job record", "job", id, "err", err)
+			c.log.Error("cannot encode job record", "job", id, "err", err)
 			c.loop.Unavailable(s.req)
 			return
 		}
@@ -213,7 +213,7 @@
 		c.loop.Unavailable(s.req) // perhaps it was stored in what is lost
 		return
 	}
-	c.log.Debug("accepted", "job", rec.ID, "class", rec.Class, "tasks", rec.Tasks, "image", rec.Image, "owner", rec.Owner)
+	c.log.Debug("job accepted", "job", rec.ID, "class", rec.Class, "tasks", rec.Tasks, "image", rec.Image, "owner", rec.Owner)
 	c.loop.Reply(s.req, eventloop.ReplyCreated, wire.JobAnswer{ID: rec.ID, State: wire.Pending})
 }
 
--- a/internal/core/controller/watch.go
+++ b/internal/core/controller/watch.go
@@ -29,7 +29,7 @@
 			c.owner.ChangesKnown(c.state.revision, sent)
 			c.watchState()
 		case eventloop.Compacted:
-			c.log.Info("watch too old, reading again")
+			c.log.Info("watch compacted, reading the state again")
 			c.state.invalidate()
 			c.readState()
 		default:
@@ -84,7 +84,7 @@
 func (c *Core) applyJobRecord(key string, value []byte, version uint64) {
 	env, rec, err := c.decodeJob(key, value)
 	if err != nil {
-		c.log.Error("job record", "key", key, "err", err)
+		c.log.Error("cannot decode job record", "key", key, "err", err)
 		return
 	}
 	c.applyJob(rec, owner.RecordInfo{Version: version, FirstVersion: env.FirstVersion, Form: env.Form})
@@ -121,7 +121,7 @@
 		err = wire.FormError{What: "end record", Form: rec.Form}
 	}
 	if err != nil {
-		c.log.Error("end record", "key", key, "err", err)
+		c.log.Error("cannot decode end record", "key", key, "err", err)
 		return
 	}
 	c.applyEnd(key[len(endPrefix):], rec, version)
