--- a/internal/core/controller/controller.go
+++ b/internal/core/controller/controller.go
@@ -1,6 +1,12 @@
-// Package controller is the core of a controller. It does no input or output:
-// Step takes the time and an event and returns the effects that the node has
-// to carry out. One goroutine owns it.
+// Package controller is the core of a controller. It owns what the roles share, the
+// copy of the state service, the lease value and what the peers say, and answers the
+// users; the roles themselves are packages owner, which places tasks, and leader, which
+// assigns machines.
+//
+// It does no input or output and reads no clock: Step takes the time and an event, and
+// returns the effects that the node has to carry out, in that order. It may assume that
+// one goroutine calls it and that every call is completed at most once. It never blocks,
+// and never relies on an effect to be carried out.
 package controller
 
 import (
@@ -12,319 +18,160 @@
 	"fawncove/internal/core/blocklease"
 	"fawncove/internal/core/cluster"
 	"fawncove/internal/core/eventloop"
-	"fawncove/internal/core/feature"
 	"fawncove/internal/core/leader"
-	"fawncove/internal/core/leasevalue"
 	"fawncove/internal/core/owner"
 	"fawncove/internal/core/recovery"
-	"fawncove/internal/peerpb"
-	"fawncove/internal/wire"
 )
 
+// maxStepGap is the longest gap between steps of a process that runs: time alone brings
+// a step every fraction of a second.
+const maxStepGap = time.Second
+
 // Core is the state of one controller.
 type Core struct {
-	view *cluster.View
-	hold *blocklease.Holder
-	log  *slog.Logger
-
-	loop eventloop.Loop
-
-	own  *owner.Owner
-	lead *leader.Leader // nil while another controller leads
-
-	// What the state service holds, as far as this controller knows.
-	loaded     bool
-	loading    bool
-	retryAt    time.Time
-	rev        uint64
-	watchAt    time.Time
-	watching   bool
-	stateOK    time.Time // last answer of the state service
-	ended      map[string]wire.EndRecord
-	endedOrder []string
-	verify     verifier
-	userWrites int       // submissions being stored
-	usersShort time.Time // when one last found no room in the write limit
-
-	typesAt   time.Time
-	typesBusy bool
+	loop       eventloop.Loop
+	log        *slog.Logger
+	view       *cluster.View
+	blockLease *blocklease.Holder
+	owner      *owner.Owner
+	leader     *leader.Leader // nil while another controller leads
+
+	// The copy of the state service, and the users who read and change it.
+	state      stateReader
+	ended      endedJobs
+	freshness  freshnessChecker
+	userWrites userWrites
 
 	// The lease value.
-	leaseSeen    time.Time // the election's patience counts from here
-	valueSeen    time.Time // when the value in view was first seen
-	baseSeen     time.Time // and the one before it
-	leaseBusy    bool
-	book         leasevalue.PageTable // the pages beside the lease value
-	unread       *wire.Pair           // a lease value whose pages are not all known
-	unreadSince  time.Time
-	leaseReading bool
-	renewAt      time.Time
-	tradedAt     time.Time
-	unreadable   uint64    // version of a lease value that could not be read
-	leaving      bool      // this process is about to end
-	refused      error     // why this version cannot serve this cluster
-	awayUntil    time.Time // no block is asked for before then, see resign
-	level        level
-
-	// The state's generation, and what happens when it has lost data.
-	gen      cluster.Stored[recovery.Generation]
-	high     uint64 // highest revision that an answer has shown
-	recovery *recoveryRun
-	kept     recovery.KnownState // of before a rebuild, until everything is read again
-	waking   waking
-
-	// What was last told to the peers.
-	pingAt time.Time
-
-	steppedAt time.Time // when the last event was handled
-	wokeAt    time.Time // until when it last stood still, or was without the state service
-	writeSent time.Time // when the last write of the lease value went out
-	cancelled uint64    // no cancellation beyond this revision has been told from here
-	asks      uint64    // see clear.go
-	askedAt   [asksKept]time.Time
-	spare     float64          // processors free here beyond what waits
-	room      cluster.Capacity // free here
+	leaseReader leaseReader
+	leaseWriter leaseWriter
+	election    election
+	renewal     renewalTimer
+
+	// The state's generation, and its recovery.
+	storedGeneration cluster.Stored[recovery.Generation]
+	startup          startupCheck
+	recovery         *recoveryRun        // nil unless one is under way
+	previousState    recovery.KnownState // known before a recovery; kept until everything is read again
+
+	// The other controllers, the cluster's level, the cloud.
+	cancellations   cancellationProof
+	load            localLoad
+	nextHeartbeatAt time.Time
+	levels          levelPublisher
+	machineTypes    machineTypeReader
+
+	// What this process is not to do.
+	shuttingDown bool
+	incompatible error     // why this version cannot serve this cluster
+	noBlockUntil time.Time // no block is asked for before, see stepDownIfIsolated
+
+	lastStepAt time.Time
+	resumedAt  time.Time // end of the last standstill, or time without the state service
 }
 
-// New returns the core of the controller described by cfg. incarnation must
-// be larger than that of every earlier process of the same name.
+// New returns the core of the controller described by cfg. incarnation must be larger
+// than that of every earlier process of the same name.
 func New(cfg *config.Settings, par cluster.Params, log *slog.Logger, incarnation uint64) *Core {
 	c := new(Core)
-	c.begin(cluster.New(cfg, par), log, incarnation)
+	c.reset(cluster.New(cfg, par), log, incarnation)
 	return c
 }
 
-// begin makes the core that of a process that knows nothing yet.
-func (c *Core) begin(view *cluster.View, log *slog.Logger, incarnation uint64) {
-	c.view, c.log, c.hold, c.ended = view, log, blocklease.New(incarnation, view.Params.LeaseDuration), map[string]wire.EndRecord{}
-	c.book.FormsBeforeLevels = !view.Params.Levels.KnowsLevels()
-	c.own = owner.New(&c.loop, c.view, c.hold, c, log)
+// reset makes the core that of a process that knows nothing yet.
+func (c *Core) reset(view *cluster.View, log *slog.Logger, incarnation uint64) {
+	c.view, c.log = view, log
+	c.blockLease = blocklease.New(incarnation, view.Params.LeaseDuration)
+	c.ended = newEndedJobs()
+	c.leaseReader.pages.FormsBeforeLevels = !view.Params.Levels.KnowsLevels()
+	c.owner = owner.New(&c.loop, c.view, c.blockLease, c, log)
 }
 
 // Step handles one event and returns what is to be done.
 func (c *Core) Step(now time.Time, ev eventloop.Event) []eventloop.Effect {
 	c.loop.Begin(now)
-	if gap := now.Sub(c.steppedAt); gap > stoodStill && !c.steppedAt.IsZero() {
-		c.log.Info("stood still", "for", gap.Round(time.Millisecond))
-		c.own.ResumedAfter(gap)
-		c.wokeAt = now
-	}
-	c.steppedAt = now
+	c.noteStandstill()
 	switch e := ev.(type) {
 	case eventloop.Tick:
 		c.tick()
 	case eventloop.Shutdown:
-		c.leave()
+		c.shutDown()
 	case eventloop.HeartbeatRequest:
-		c.own.HandleHeartbeat(e)
+		c.owner.HandleHeartbeat(e)
 	case eventloop.SubmitRequest:
-		c.onSubmit(e)
+		c.handleSubmit(e)
 	case eventloop.QueryRequest:
-		c.onPoll(e)
+		c.handleQuery(e)
 	case eventloop.CancelRequest:
-		c.onCancel(e)
+		c.handleCancel(e)
 	case eventloop.PeerFrame:
-		c.onPeer(e.Frame)
+		c.handlePeerFrame(e.Frame)
 	case eventloop.Completion:
-		if e.FromStateService && (e.Outcome == eventloop.Succeeded || e.Outcome == eventloop.NotFound || e.Outcome == eventloop.Conflict) {
-			if !c.reachable() && !c.stateOK.IsZero() {
-				c.wokeAt = now // what it has missed meanwhile may be a loss
-			}
-			c.stateOK = now
-		}
-		c.witness(&e)
-		c.loop.Complete(e)
-		if c.lead != nil && c.lead.PublishNow() {
-			c.leadTick()
-		}
+		c.handleCompletion(e)
 	default:
 		c.log.Error("unknown event", "type", fmt.Sprintf("%T", ev))
 	}
-	c.own.PlaceAndSend()
+	c.owner.PlaceAndSend()
 	return c.loop.Effects()
 }
 
-// Healthy tells whether users can be served here: everything is read, and
-// where the state service is out of reach, nobody else does better.
-func (c *Core) Healthy() bool {
-	if c.leaving || !c.serves() || len(c.view.MachineTypes) == 0 || c.view.LeaseVersion == 0 {
-		return false
-	}
-	if c.reachable() {
-		return true
-	}
-	// One that hears no other controller either is itself cut off: nobody is
-	// served here, while elsewhere somebody may be.
-	heard := len(c.view.Peers) == 0
-	for name, p := range c.view.Peers {
-		up := c.view.IsReachable(name, c.loop.Now)
-		if up && p.StateReachable {
-			return false
-		}
-		heard = heard || up
-	}
-	return heard
-}
-
-// Levels is what the lease value, as last read, says of levels.
-func (c *Core) Levels() feature.State { return c.view.Levels() }
-
-// LeaseForm is the form of the lease value as this controller last read it.
-func (c *Core) LeaseForm() int { return c.view.Lease.Form }
-
-// ShardedTeams tells how many teams' limits are held in shares.
-func (c *Core) ShardedTeams() int { return len(c.view.Lease.Shares) }
-
-// Partitions names the controller of every home, as the lease value last read does.
-// The map is not to be changed.
-func (c *Core) Partitions() map[string]string { return c.view.Lease.Partitions }
-
-// MachineCount tells how many machines are in this controller's block.
-func (c *Core) MachineCount() int { return c.own.MachineCount() }
-
-// tick does what time alone brings about.
-func (c *Core) tick() {
-	if c.recovery != nil {
-		c.recover()
-		return
-	}
-	c.loadTypes()
-	if !c.loaded {
-		c.wake()
-		return
-	}
-	c.watch()
-	if c.refused != nil {
-		return
-	}
-	c.readLease()
-	c.resign()
-	c.trade()
-	c.elect()
-	c.renew()
-	c.ping()
-	c.tellLevel()
-	c.own.StorePending()
-	c.runVerify()
-	c.own.CheckMachines()
-	c.own.LogServiceReport()
-	c.leadTick()
-}
-
-// stoodStill is a gap between steps that says that the process did not run: time
-// alone brings one every fraction of a second.
-const stoodStill = time.Second
-
-// loadTypes reads the machine types, which validation needs, and refreshes
-// the leader's prices now and then.
-func (c *Core) loadTypes() {
-	every := 30 * time.Second
-	if len(c.view.MachineTypes) == 0 {
-		every = time.Second
-	} else if c.lead == nil {
-		return
-	}
-	if c.typesBusy || (!c.typesAt.IsZero() && c.loop.Now.Sub(c.typesAt) < every) {
-		return
+// noteStandstill notes whether the process did not run before this step: silence in that
+// time says nothing about others.
+func (c *Core) noteStandstill() {
+	now := c.loop.Now
+	if gap := now.Sub(c.lastStepAt); gap > maxStepGap && !c.lastStepAt.IsZero() {
+		c.log.Info("resumed after standstill", "duration", gap.Round(time.Millisecond))
+		c.owner.ResumedAfter(gap)
+		c.resumedAt = now
 	}
-	c.typesBusy, c.typesAt = true, c.loop.Now
-	c.loop.Emit(eventloop.CloudTypes{ID: c.loop.Call(func(d eventloop.Completion) {
-		c.typesBusy = false
-		if d.Outcome != eventloop.Succeeded {
-			return
-		}
-		for _, t := range d.Types.Types {
-			if t.Name != "" && t.CPUs > 0 {
-				c.view.MachineTypes[t.Name] = t
-			}
-		}
-	})})
+	c.lastStepAt = now
 }
 
-// ping keeps the links to the peers alive and carries counts for display.
-func (c *Core) ping() {
-	if c.loop.Now.Before(c.pingAt) {
-		return
+// handleCompletion hands a completion to the call that it belongs to.
+func (c *Core) handleCompletion(d eventloop.Completion) {
+	if d.FromStateService && (readOrAbsent(d.Outcome) || d.Outcome == eventloop.Conflict) {
+		c.noteStateAnswer()
 	}
-	c.pingAt = c.loop.Now.Add(time.Second)
-	f := c.frame()
-	busy, _, size := c.own.ProcessorUse()
-	c.spare = size - busy
-	f.SpareCpus = c.spare
-	f.Teams = c.own.PublishedTeamUse()
-	c.room = c.own.Capacity()
-	c.room.Size = size
-	f.FreeCpus, f.ImageCpus, f.SizeCpus = c.room.Free, c.room.Images, size
-	f.FreeSlots = c.own.FreeSlots()
-	f.Progress = c.own.ChangedCounts()
-	f.NoHeartbeats = c.own.NoHeartbeats()
-	f.ForeignWorkers = c.own.ForeignWorkersByHolder()
-	c.askAll(f)
-	for _, name := range cluster.SortedKeys(c.view.Peers) {
-		c.loop.Emit(eventloop.PeerSend{To: name, Frame: f})
+	c.checkRevision(&d)
+	c.loop.Complete(d)
+	if c.leader != nil && c.leader.PublishNow() {
+		c.runLeader()
 	}
 }
 
-// frame is the beginning of every message to another controller.
-func (c *Core) frame() *peerpb.Frame {
-	f := &peerpb.Frame{From: c.view.Self, Incarnation: c.hold.Incarnation(), StateOk: c.reachable(),
-		LeaseForm: leasevalue.FormPages}
-	c.tellGeneration(f)
-	if c.view.Params.Levels.KnowsLevels() {
-		f.Form, f.NewestLevel, f.SeenLevel = frameForm, uint32(c.view.Params.Levels.Newest), c.view.Lease.Level
-		f.AcceptsRaisedTokens, f.AcceptsJobMoves = true, true
+// noteStateAnswer notes that the state service answers.
+func (c *Core) noteStateAnswer() {
+	if !c.stateReachable() && !c.state.lastAnswer.IsZero() {
+		c.resumedAt = c.loop.Now // what was missed meanwhile may be a loss
 	}
-	return f
+	c.state.lastAnswer = c.loop.Now
 }
 
-// missedNews is after what silence another controller may have missed a frame, of
-// those that go out every second.
-const missedNews = 1500 * time.Millisecond
-
-func (c *Core) onPeer(f *peerpb.Frame) {
-	p := c.view.Peers[f.GetFrom()]
-	if p == nil {
-		c.log.Warn("frame from an unknown peer", "from", f.GetFrom())
+// tick does what is due by time alone.
+func (c *Core) tick() {
+	if c.recovery != nil {
+		c.stepRecovery()
 		return
 	}
-	if c.view.Params.Levels.KnowsLevels() && (f.GetForm() > frameForm || f.GetRenewal().GetForm() > renewalForm) {
-		c.log.Warn("frame in a form that is unknown to this version", "from", f.GetFrom(), "form", f.GetForm(), "renewal", f.GetRenewal().GetForm())
+	c.readMachineTypes()
+	if !c.state.loaded() {
+		c.startUp()
 		return
 	}
-	if f.GetHello() {
-		c.loop.Emit(eventloop.PeerSend{To: f.GetFrom(), Frame: c.frame()})
+	c.watchState()
+	if c.incompatible != nil {
 		return
 	}
-	if f.GetIncarnation() != p.Incarnation || c.loop.Now.Sub(p.LastFrame) > missedNews {
-		c.own.ResendCounts()
-	}
-	p.Incarnation, p.SeenLevel = f.GetIncarnation(), feature.Level(f.GetSeenLevel())
-	p.Generation, p.StateLost, p.StateRestored, p.Revision = f.GetGeneration(), f.GetStateLost(), f.GetStateRestored(), f.GetRevision()
-	if f.GetStateOk() && (!p.StateReachable || c.loop.Now.Sub(p.LastFrame) > cluster.PeerTimeout) {
-		p.StateReachableSince = c.loop.Now
-	}
-	p.LastFrame, p.StateReachable, p.LeaseForm, p.AcceptsRaisedTokens = c.loop.Now, f.GetStateOk(), f.GetLeaseForm(), f.GetAcceptsRaisedTokens()
-	if f.GetRenewal() == nil {
-		p.SpareCPUs = f.GetSpareCpus()
-	}
-	if f.GetImageCpus() != nil {
-		p.Capacity = cluster.Capacity{Free: f.GetFreeCpus(), Size: f.GetSizeCpus(), Images: f.GetImageCpus()}
-	}
-	p.AcceptsJobMoves = f.GetAcceptsJobMoves()
-	if f.GetRenewal() == nil {
-		p.UpdateFreeSlots(f.GetFreeSlots())
-		p.NoHeartbeats, p.ForeignWorkers = f.GetNoHeartbeats(), int(f.GetForeignWorkers()[c.view.Self])
-	}
-	p.UpdateTeamUse(f.GetTeams())
-	c.answered(p, f)
-	for _, g := range f.GetProgress() {
-		if j := c.own.Job(g.GetId()); j != nil {
-			j.ApplyReportedCounts(int(g.GetDone()), int(g.GetRunning()))
-		}
-	}
-	c.own.LearnMachines(f.GetKnownMachines())
-	if r := f.GetRenewal(); r != nil && r.GetNode() == f.GetFrom() {
-		c.onRenewal(r)
-	}
-	c.heardOfLoss(p, f.GetRecoveryView())
+	c.readIncompleteLease()
+	c.stepDownIfIsolated()
+	c.requestQuotaChanges()
+	c.campaign()
+	c.renewBlockLease()
+	c.heartbeatPeers()
+	c.publishLevel()
+	c.owner.StorePending()
+	c.sendFreshnessCheck()
+	c.owner.CheckMachines()
+	c.owner.LogServiceReport()
+	c.runLeader()
 }
--- a/internal/core/controller/controller_test.go
+++ b/internal/core/controller/controller_test.go
@@ -27,9 +27,9 @@
 	c := New(s, cluster.Defaults(), slog.New(slog.NewTextHandler(io.Discard, nil)), 7)
 	now := time.Date(2026, 3, 1, 6, 0, 0, 0, time.UTC)
 	c.loop.Begin(now)
-	c.loaded = true
-	c.own.ChangesKnown(5, now)
-	c.stateOK = now
+	c.state.phase = stateRead
+	c.owner.ChangesKnown(5, now)
+	c.state.lastAnswer = now
 	c.view.MachineTypes["s4"] = wire.MachineType{Name: "s4", CPUs: 4, MemoryGB: 16, CacheGB: 20, FetchGBPS: 1, Price: 1, SpotPrice: 0.3, BootS: 6, Zones: []string{"x", "y"}}
 	c.applyLease(rec, 5)
 	return c, now
@@ -41,10 +41,10 @@
 func TestOutageIsNotTakenForRefusal(t *testing.T) {
 	c, start := newCore(t, []config.Team{{Name: "free"}}, wire.LeaseRecord{Term: 3, Leader: "n1",
 		Blocks: map[string]wire.Block{"n0": {Grant: 1 << 18, Incarnation: 7}}, Partitions: map[string]string{"free": "n0"}})
-	c.stateOK = start
+	c.state.lastAnswer = start
 	for ms := 500; ms <= 16000; ms += 500 {
 		c.Step(start.Add(time.Duration(ms)*time.Millisecond), eventloop.PeerFrame{Frame: &peerpb.Frame{From: "n1", StateOk: ms < 4000 || ms > 10000}})
-		if got, want := c.refusedAlone(), ms > 10000+int(refusedProof.Milliseconds())+500; got != want {
+		if got, want := c.isolatedFromState(), ms > 10000+int(peerReachableFor.Milliseconds())+500; got != want {
 			t.Errorf("refused alone at %d ms: %v, want %v", ms, got, want)
 		}
 	}
@@ -77,8 +77,8 @@
 		{"urgent, even blocks, one has the image", cluster.Capacity{Free: 50, Size: 300},
 			cluster.Capacity{Free: 50, Size: 300, Images: map[string]float64{"a": 40}}, 50, 50, "urgent", "a", "free #2"},
 	} {
-		core.room, core.spare, p.Capacity, p.SpareCPUs = c.own, c.ownSpare, c.other, c.spare
-		if got := core.fileUnder(job(c.priority, c.image)); got != c.want {
+		core.load.capacity, core.load.spareCPUs, p.Capacity, p.SpareCPUs = c.own, c.ownSpare, c.other, c.spare
+		if got := core.chooseShard(job(c.priority, c.image)); got != c.want {
 			t.Errorf("%s: filed under %s, want %s", c.name, got, c.want)
 		}
 	}
@@ -94,18 +94,18 @@
 		b.Machines = slices.DeleteFunc(b.Machines, func(n string) bool { return n[len(n)-1] == '7' }) // off every page
 		rec.Blocks[node] = b
 	}
-	c.leaseBusy = false
+	c.leaseWriter.inFlight = false
 	c.loop.Begin(now)
 	c.writeLease(rec, func() { t.Error("stored") })
-	if len(c.loop.Effects()) != 0 || c.leaseBusy {
-		t.Fatalf("%d effects, busy %v after a write that does not fit", len(c.loop.Effects()), c.leaseBusy)
+	if len(c.loop.Effects()) != 0 || c.leaseWriter.inFlight {
+		t.Fatalf("%d effects, busy %v after a write that does not fit", len(c.loop.Effects()), c.leaseWriter.inFlight)
 	}
 	for i := 7; i < 10000; i += 10 {
-		c.lead.MachineDeleted(fmt.Sprintf("host-%06d", i))
+		c.leader.MachineDeleted(fmt.Sprintf("host-%06d", i))
 	}
 	for i, most := range []int{1, 12} { // first the value alone, then as much as fits
 		changes := 0
-		c.leaseBusy = false
+		c.leaseWriter.inFlight = false
 		for _, e := range c.Step(now.Add(time.Duration(1+i)*6*time.Second), eventloop.Tick{}) {
 			if txn, ok := e.(eventloop.StateTxn); ok && txn.LeaseBudget {
 				changes = len(txn.Txn.Then)
@@ -123,8 +123,8 @@
 func TestClockBehindPredecessor(t *testing.T) {
 	c, _ := newCore(t, []config.Team{{Name: "free"}}, wire.LeaseRecord{Term: 3, Leader: "n1",
 		Blocks: map[string]wire.Block{"n0": {Grant: 1 << 18, Incarnation: 20}}})
-	if got := c.hold.Incarnation(); got <= 20 || c.hold.Held() {
-		t.Errorf("incarnation %d, holds a block: %v", got, c.hold.Held())
+	if got := c.blockLease.Incarnation(); got <= 20 || c.blockLease.Held() {
+		t.Errorf("incarnation %d, holds a block: %v", got, c.blockLease.Held())
 	}
 }
 
@@ -174,7 +174,7 @@
 			}
 			core, now := newCore(t, teams, wire.LeaseRecord{Term: 3, Leader: "n1", Blocks: map[string]wire.Block{"n0": {Grant: 1 << 18, Incarnation: 7}}})
 			if what == "says so to one that just woke" {
-				core.wokeAt = now // the state may have lost the job meanwhile
+				core.resumedAt = now // the state may have lost the job meanwhile
 			}
 			got := eventloop.NoReply
 			// Without an answer it is asked again until its user waits no longer.
--- a/internal/core/controller/meeting_test.go
+++ b/internal/core/controller/meeting_test.go
@@ -104,7 +104,7 @@
 		t.Fatal("nothing was written")
 	}
 	k.do(eventloop.Completion{ID: k.ids[0], FromStateService: true}) // no answer
-	if k.c.lead == nil {
+	if k.c.leader == nil {
 		t.Fatal("does not lead")
 	}
 	// Carried out late, and shown by the watch.
@@ -171,7 +171,7 @@
 		Pairs: []wire.Pair{{Key: jobPrefix + "wk-000001", Version: 1}}}}))
 	at(18 * time.Second)
 	gets(c.Step(now, eventloop.Completion{ID: second, FromStateService: true, Outcome: eventloop.Succeeded, Page: wire.Page{Revision: 2}}))
-	if !c.loaded {
+	if !c.state.loaded() {
 		t.Fatal("not read")
 	}
 	w := c.view.Settings.Cluster.Workers
@@ -236,8 +236,8 @@
 		"a stored job under another's key": {put(jobPrefix+"wk-000009", raw(wire.JobRecord{Job: wire.Job{ID: "wk-000008"}})), eventloop.NoReply, eventloop.NoReply},
 		"a stored end that cannot be read": {put(endPrefix+"wk-000009", []byte{0xc1}), eventloop.NoReply, eventloop.NoReply},
 		"a lease value that is none":       {put(leaseKey, []byte{0xc1}), eventloop.NoReply, eventloop.NoReply},
-		"a renewal that is none":           {put(renPrefix+"n1", raw(map[string]string{"pb": "?"})), eventloop.NoReply, eventloop.NoReply},
-		"a generation that is none":        {put(genKey, []byte{0xc1}), eventloop.NoReply, eventloop.NoReply},
+		"a renewal that is none":           {put(renewalPrefix+"n1", raw(map[string]string{"pb": "?"})), eventloop.NoReply, eventloop.NoReply},
+		"a generation that is none":        {put(generationKey, []byte{0xc1}), eventloop.NoReply, eventloop.NoReply},
 		"a level that is none":             {put(OperatorRequestKey, []byte{0xc1}), eventloop.NoReply, eventloop.NoReply},
 	} {
 		for _, away := range []bool{false, true} {
@@ -245,7 +245,7 @@
 				Blocks: map[string]wire.Block{"n0": {Grant: 1 << 18, Incarnation: 7, Machines: []string{"host-000001"}}}})
 			want, now, watch := c.well, start, uint64(0)
 			if away {
-				want, now = c.away, start.Add(stateSilent)
+				want, now = c.away, start.Add(stateTimeout)
 			}
 			// handle carries out an event, and answers what it asks of the state service.
 			var handle func(ev eventloop.Event) eventloop.ReplyCode
@@ -276,12 +276,12 @@
 				}
 				ev = d
 			}
-			jobs, version := len(c0.own.Jobs()), c0.view.LeaseVersion
+			jobs, version := len(c0.owner.Jobs()), c0.view.LeaseVersion
 			if got := handle(ev); got != want {
 				t.Errorf("%s, away: %v: answered %q, want %q", name, away, got, want)
 			}
 			handle(eventloop.Tick{})
-			if len(c0.own.Jobs()) != jobs || c0.view.LeaseVersion != version || len(c0.ended) > 0 || c0.recovery != nil {
+			if len(c0.owner.Jobs()) != jobs || c0.view.LeaseVersion != version || len(c0.ended.records) > 0 || c0.recovery != nil {
 				t.Errorf("%s, away: %v: changed what is known", name, away)
 			}
 		}
@@ -304,7 +304,7 @@
 		"has found that data is lost":     {func(f *peerpb.Frame) { f.StateLost = true }, true, false},
 		"answers an earlier process":      {func(f *peerpb.Frame) { f.FreshnessReplies[0].Incarnation-- }, true, false},
 		"answers somebody else":           {func(f *peerpb.Frame) { f.FreshnessReplies[0].To = "n3" }, true, false},
-		"answers what was asked long ago": {func(f *peerpb.Frame) { f.FreshnessReplies[0].Request -= asksKept }, true, false},
+		"answers what was asked long ago": {func(f *peerpb.Frame) { f.FreshnessReplies[0].Request -= maxFreshnessRequests }, true, false},
 		"answers what was never asked":    {func(f *peerpb.Frame) { f.FreshnessReplies[0].Request++ }, true, false},
 		"of an earlier version":           {func(f *peerpb.Frame) { f.FreshnessReplies = nil }, true, false},
 	} {
@@ -313,10 +313,10 @@
 		s.Peers = append(s.Peers, config.Peer{HostName: "n2", Area: "x"})
 		core := New(&s, c0.view.Params, c0.log, 7)
 		core.loop.Begin(start)
-		core.loaded, core.rev, core.stateOK, core.watching = true, 7, start, true
-		core.own.ChangesKnown(core.view.LeaseVersion, start)
+		core.state = stateReader{phase: stateRead, revision: 7, lastAnswer: start, watching: true}
+		core.owner.ChangesKnown(core.view.LeaseVersion, start)
 		ask, now := uint64(0), start
-		for ask < 2*asksKept {
+		for ask < 2*maxFreshnessRequests {
 			now = now.Add(time.Second)
 			for _, e := range core.Step(now, eventloop.Tick{}) {
 				if p, ok := e.(eventloop.PeerSend); ok {
@@ -368,7 +368,7 @@
 	} {
 		core, now := newCore(t, []config.Team{{Name: "free"}}, wire.LeaseRecord{Term: 3, Leader: "n1"})
 		core.loop.Begin(now)
-		core.fetchLease(func(eventloop.Outcome) {})
+		core.readLease(func(eventloop.Outcome) {})
 		var get eventloop.StateGet
 		for _, e := range core.loop.Effects() {
 			if g, ok := e.(eventloop.StateGet); ok {
