--- a/internal/core/leader/leaseform.go
+++ b/internal/core/leader/leaseform.go
@@ -49,7 +49,7 @@
 func (l *Leader) inlineValueSize() int {
 	encoded, err := wire.Encode(l.view.Lease)
 	if err != nil {
-		l.log.Error("lease value", "err", err)
+		l.log.Error("cannot encode lease value", "err", err)
 		return math.MaxInt32
 	}
 	var coming []string
--- a/internal/core/leader/level.go
+++ b/internal/core/leader/level.go
@@ -25,7 +25,7 @@
 	request := feature.OperatorRequest{TargetLevel: feature.Level(stored.TargetLevel), Hold: stored.HoldLevel}
 	next, blockers := l.levelRaiser.Decide(l.loop.Now, state, l.view.Params.Levels, l.view.Members(l.incarnation, l.loop.Now), request)
 	if !slices.Equal(blockers, l.levelBlockers) {
-		l.log.Debug("level", "level", state.Level, "confirmed", state.Confirmed, "waits", blockers)
+		l.log.Debug("feature level", "level", state.Level, "confirmed", state.Confirmed, "blockers", blockers)
 		l.levelBlockers = blockers
 	}
 	if next == state || l.loop.Now.Before(l.nextLevelRaise) {
--- a/internal/core/leader/renewals.go
+++ b/internal/core/leader/renewals.go
@@ -61,7 +61,7 @@
 func (l *Leader) unpackNames(text string) []string {
 	names, err := wire.UnpackNames(text)
 	if err != nil {
-		l.log.Error("names in a renewal", "err", err)
+		l.log.Error("cannot decode names in renewal", "err", err)
 	}
 	return names
 }
--- a/internal/core/leader/takeover.go
+++ b/internal/core/leader/takeover.go
@@ -28,7 +28,7 @@
 		before := stored
 		stored = func() {
 			before()
-			l.log.Info("lease lapsed", "node", node, "resigned", resigned, "successor", successor,
+			l.log.Info("lease lapsed", "controller", node, "resigned", resigned, "successor", successor,
 				"machines", len(dead.Machines)+len(dead.Unreconciled))
 		}
 	}
