--- a/cmd/fawncove/serve.go
+++ b/cmd/fawncove/serve.go
@@ -99,7 +99,7 @@
 	core := controller.New(s, par, logger, uint64(time.Now().UnixMilli()))
 	n := node.New(core, logger,
 		statestore.New(s.External.State, s.Cluster.State.RPS, s.Cluster.State.WriteRPS, s.Controllers()),
-		cloud.New(s.External.Cloud, s.Cluster.Cloud.RPS, 0.8), links, 2*s.Cluster.Limits.Sockets/5)
+		cloud.New(s.External.Cloud, s.Cluster.Cloud.RPS, 0.8), links, s.Cluster.Limits.Sockets)
 	go n.Run(ctx)
 	go peer.Serve(ctx, peers, logger, n.Peer)
 
--- a/internal/edge/client/client.go
+++ b/internal/edge/client/client.go
@@ -8,6 +8,7 @@
 	"io"
 	"net"
 	"net/http"
+	"sync"
 	"time"
 
 	"fawncove/internal/wire"
@@ -38,6 +39,43 @@
 	}}
 }
 
+// Counter is told of the connections that a client makes.
+type Counter interface {
+	Opened() // one is being dialled
+	Closed() // one is closed, or could not be made
+}
+
+// CountDials tells counter of all connections that are made from now on. It must
+// be called before the first request.
+func (c *Client) CountDials(counter Counter) {
+	transport := c.http.Transport.(*http.Transport)
+	dial := transport.DialContext
+	transport.DialContext = func(ctx context.Context, network, address string) (net.Conn, error) {
+		counter.Opened()
+		conn, err := dial(ctx, network, address)
+		if err != nil {
+			counter.Closed()
+			return nil, err
+		}
+		return &countedConn{Conn: conn, closed: sync.OnceFunc(counter.Closed)}, nil
+	}
+}
+
+// CloseIdle closes the connections that no request uses.
+func (c *Client) CloseIdle() { c.http.CloseIdleConnections() }
+
+// countedConn is a connection whose counter is told when it is closed.
+type countedConn struct {
+	net.Conn
+	closed func()
+}
+
+// Close closes the connection.
+func (c *countedConn) Close() error {
+	defer c.closed()
+	return c.Conn.Close()
+}
+
 // Do sends in, if there is one, and decodes the answer into out when its
 // status is in wanted. Status 0 comes with an error and means no answer: the
 // request may have been executed, or may yet be.
--- a/internal/edge/node/node.go
+++ b/internal/edge/node/node.go
@@ -37,7 +37,7 @@
 	pending map[uint64]chan step.Reply
 	nextReq uint64
 	usage   usage
-	sockets Sockets
+	sockets *Sockets
 	healthy atomic.Bool
 	left    atomic.Bool
 }
@@ -47,16 +47,24 @@
 	reply chan step.Reply
 }
 
-// New returns a node for a core and its edges. It keeps at most idle direct
-// connections to workers open: what is left of the machine's sockets is for
-// reports and users.
-func New(core *controller.Core, log *slog.Logger, store *statestore.Store, cl *cloud.Cloud, links map[string]*peer.Link, idle int) *Node {
-	return &Node{core: core, log: log, store: store, cloud: cl, links: links,
-		workers: client.New(2, 1<<20, idle),
+// directPart is the part of the machine's sockets that idle direct connections
+// to workers may take while nothing else needs them. Near the limit they are the
+// first to be closed, see Sockets.
+const directPart = 0.4
+
+// New returns a node for a core and its edges, on a machine of so many sockets;
+// 0 means no limit.
+func New(core *controller.Core, log *slog.Logger, store *statestore.Store, cl *cloud.Cloud, links map[string]*peer.Link, sockets int) *Node {
+	workers := client.New(2, 1<<20, int(directPart*float64(sockets)))
+	n := &Node{core: core, log: log, store: store, cloud: cl, links: links,
+		workers: workers,
+		sockets: newSockets(sockets, workers.CloseIdle),
 		events:  make(chan step.Event, 256),
 		asks:    make(chan ask, 256),
 		pending: map[uint64]chan step.Reply{},
 	}
+	workers.CountDials(n.sockets)
+	return n
 }
 
 // Healthy tells whether users can be served here.
@@ -79,7 +87,7 @@
 }
 
 // Sockets counts the connections of users and workers.
-func (n *Node) Sockets() *Sockets { return &n.sockets }
+func (n *Node) Sockets() *Sockets { return n.sockets }
 
 // Ask hands a request to the core and waits for its reply.
 func (n *Node) Ask(ctx context.Context, event func(req uint64) step.Event) (step.Reply, error) {
--- a/internal/edge/node/usage.go
+++ b/internal/edge/node/usage.go
@@ -1,10 +1,7 @@
 package node
 
 import (
-	"net"
-	"net/http"
 	"runtime/metrics"
-	"sync/atomic"
 	"time"
 
 	"fawncove/internal/core/step"
@@ -20,6 +17,7 @@
 	commands, busiestSecond int // direct commands; most events in a second
 	second                  time.Time
 	events                  int
+	closedIdle              int // idle connections closed to make room, at the last log
 }
 
 // count notes an effect that costs something.
@@ -45,19 +43,6 @@
 	u.events++
 }
 
-// Sockets counts the connections that users and workers hold open.
-type Sockets struct{ open atomic.Int64 }
-
-// Track is the http.Server's ConnState hook.
-func (s *Sockets) Track(_ net.Conn, state http.ConnState) {
-	switch state {
-	case http.StateNew:
-		s.open.Add(1)
-	case http.StateClosed, http.StateHijacked:
-		s.open.Add(-1)
-	}
-}
-
 // logUsage logs what was used since the last time, per second where that is
 // what the settings limit.
 func (n *Node) logUsage(now time.Time) {
@@ -73,8 +58,10 @@
 	sample := []metrics.Sample{{Name: "/memory/classes/total:bytes"}}
 	metrics.Read(sample)
 	rate := func(n int) float64 { return float64(int(10*float64(n)/took.Seconds())) / 10 }
-	n.log.Info("usage", "machines", n.core.Holds(), "connections", n.sockets.open.Load(), "memory_mb", sample[0].Value.Uint64()>>20,
+	sockets := n.sockets.counts()
+	n.log.Info("usage", "machines", n.core.Holds(), "connections", sockets.open, "stale_connections", sockets.stale, "direct_connections", sockets.direct,
+		"connections_closed", sockets.closedIdle-u.closedIdle, "memory_mb", sample[0].Value.Uint64()>>20,
 		"state_requests_per_s", rate(u.reads), "state_changes_per_s", rate(u.changes), "cloud_calls_per_s", rate(u.calls),
 		"commands_per_s", rate(u.commands), "busiest_second_events", max(u.busiestSecond, u.events))
-	*u = usage{at: now, second: now}
+	*u = usage{at: now, second: now, closedIdle: sockets.closedIdle}
 }
