--- a/internal/edge/node/sockets.go
+++ b/internal/edge/node/sockets.go
@@ -26,8 +26,7 @@
 // Sockets counts the connections that users and workers hold open and the
 // direct connections to workers. Near the limit it closes idle ones, so that
 // nobody new is refused: the stale ones first, then the direct ones, which are
-// used least, then those idle for longest. A connection with a request under way
-// is never closed.
+// used least, then any. A connection with a request under way is never closed.
 //
 // It may be used by several goroutines.
 type Sockets struct {
@@ -120,18 +119,18 @@
 	if !s.beyond(closeIdleFrom) {
 		return
 	}
-	s.closeIdle(staleTo, staleAfter)
+	s.closeIdle(staleTo, s.takeStale)
 	if s.beyond(closeIdleFrom) {
 		s.closeDirect()
 	}
-	s.closeIdle(closeIdleFrom, 0)
+	s.closeIdle(closeIdleFrom, s.takeAny)
 }
 
-// closeIdle closes connections that have been idle for at least so long until
-// all connections take no more than a part of the limit.
-func (s *Sockets) closeIdle(part float64, least time.Duration) {
+// closeIdle closes connections that take chooses until all connections take no
+// more than a part of the limit, or take finds none.
+func (s *Sockets) closeIdle(part float64, take func() net.Conn) {
 	for s.beyond(part) {
-		c := s.longestIdle(least)
+		c := take()
 		if c == nil {
 			return
 		}
@@ -147,23 +146,39 @@
 	return s.limit > 0 && float64(len(s.connections)+s.direct) > part*float64(s.limit)
 }
 
-// longestIdle takes the connection that has been idle for longest, nil if none
-// has been for at least so long. It no longer counts as open.
-func (s *Sockets) longestIdle(least time.Duration) net.Conn {
+// takeStale takes the connection that has been idle for longest, nil if none is
+// stale.
+func (s *Sockets) takeStale() net.Conn {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	first := s.idle.Front()
-	if first == nil {
+	if first == nil || time.Since(first.Value.(idleConnection).since) < staleAfter {
 		return nil
 	}
-	c := first.Value.(idleConnection)
-	if time.Since(c.since) < least {
-		return nil
+	return s.take(first)
+}
+
+// takeAny takes some idle connection, nil if there is none. Of connections that
+// are not stale the one idle for longest is the one that reports next: to close
+// them in this order would make every worker dial for every report as soon as
+// there is one connection too many.
+func (s *Sockets) takeAny() net.Conn {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for _, place := range s.connections { // in no order
+		if place != nil {
+			return s.take(place)
+		}
 	}
-	s.idle.Remove(first)
-	delete(s.connections, c.Conn)
+	return nil
+}
+
+// take removes an idle connection, which no longer counts as open.
+func (s *Sockets) take(place *list.Element) net.Conn {
+	c := s.idle.Remove(place).(idleConnection).Conn
+	delete(s.connections, c)
 	s.closedIdle++
-	return c.Conn
+	return c
 }
 
 // socketCounts is what a Sockets holds at a moment.
