--- a/internal/edge/client/client.go
+++ b/internal/edge/client/client.go
@@ -16,15 +16,15 @@
 
 // Client calls one service, or many of one kind.
 type Client struct {
-	http *http.Client
-	most int64
+	http           *http.Client
+	maxAnswerBytes int64
 }
 
 // New returns a client that reads answers of up to most bytes, opens at most
 // perHost connections to each host and keeps at most idle open without use; 0
 // means no limit.
 func New(perHost int, most int64, idle int) *Client {
-	return &Client{most: most, http: &http.Client{
+	return &Client{maxAnswerBytes: most, http: &http.Client{
 		Transport: &http.Transport{
 			DialContext:         (&net.Dialer{Timeout: 2 * time.Second, KeepAlive: -1}).DialContext,
 			MaxConnsPerHost:     perHost,
@@ -103,12 +103,12 @@
 		return 0, fmt.Errorf("%s %s: %w", method, url, err)
 	}
 	defer resp.Body.Close()
-	b, err := io.ReadAll(io.LimitReader(resp.Body, c.most+1))
+	b, err := io.ReadAll(io.LimitReader(resp.Body, c.maxAnswerBytes+1))
 	if err != nil {
 		return 0, fmt.Errorf("%s %s: %w", method, url, err)
 	}
-	if int64(len(b)) > c.most {
-		return 0, fmt.Errorf("%s %s: answer over %d bytes", method, url, c.most)
+	if int64(len(b)) > c.maxAnswerBytes {
+		return 0, fmt.Errorf("%s %s: answer over %d bytes", method, url, c.maxAnswerBytes)
 	}
 	for _, w := range wanted {
 		if resp.StatusCode == w && out != nil {
--- a/internal/edge/httpapi/httpapi.go
+++ b/internal/edge/httpapi/httpapi.go
@@ -1,4 +1,5 @@
-// Package httpapi serves users, workers and health checks over HTTP.
+// Package httpapi serves users, workers and health checks over HTTP: it decodes requests,
+// limits the time that they take, and translates replies into statuses. It decides nothing.
 package httpapi
 
 import (
@@ -12,18 +13,18 @@
 	"fawncove/internal/wire"
 )
 
-// Backend answers requests.
+// Backend is the node that answers requests.
 type Backend interface {
 	Ask(ctx context.Context, event func(req uint64) eventloop.Event) (eventloop.Reply, error)
 	Healthy() bool
 }
 
-// How long a request may take: workers drop an answer after 4 s, users after 5 s, and
-// after 2 s that to a poll. Who is told in time that there is none comes back on a
+// How long a request may take. Workers drop an answer after 4 s, users after 5 s, or after
+// 2 s that to a query. A client that is told in time that there is none comes back on a
 // connection that is still good.
 const (
-	answerWithin = 3500 * time.Millisecond
-	pollWithin   = 1850 * time.Millisecond
+	requestTimeout = 3500 * time.Millisecond
+	queryTimeout   = 1850 * time.Millisecond
 )
 
 // New returns the handler for client_listen.
@@ -35,65 +36,66 @@
 		}
 	})
 	mux.HandleFunc("POST /v1/jobs", func(w http.ResponseWriter, r *http.Request) {
-		body, ok := read(w, r)
+		body, ok := readBody(w, r)
 		if !ok {
 			return
 		}
 		job, err := wire.ParseJob(body)
-		serve(w, r, b, answerWithin, func(req uint64) eventloop.Event { return eventloop.SubmitRequest{Req: req, Job: job, Err: err} })
+		serve(w, r, b, requestTimeout, func(req uint64) eventloop.Event { return eventloop.SubmitRequest{Req: req, Job: job, Err: err} })
 	})
 	mux.HandleFunc("GET /v1/jobs/{id}", func(w http.ResponseWriter, r *http.Request) {
 		id := r.PathValue("id")
-		serve(w, r, b, pollWithin, func(req uint64) eventloop.Event { return eventloop.QueryRequest{Req: req, ID: id} })
+		serve(w, r, b, queryTimeout, func(req uint64) eventloop.Event { return eventloop.QueryRequest{Req: req, ID: id} })
 	})
 	mux.HandleFunc("POST /v1/jobs/{id}/cancel", func(w http.ResponseWriter, r *http.Request) {
-		if _, ok := read(w, r); !ok {
+		if _, ok := readBody(w, r); !ok {
 			return
 		}
 		id := r.PathValue("id")
-		serve(w, r, b, answerWithin, func(req uint64) eventloop.Event { return eventloop.CancelRequest{Req: req, ID: id} })
+		serve(w, r, b, requestTimeout, func(req uint64) eventloop.Event { return eventloop.CancelRequest{Req: req, ID: id} })
 	})
 	mux.HandleFunc("POST /checkin", func(w http.ResponseWriter, r *http.Request) {
-		body, ok := read(w, r)
+		body, ok := readBody(w, r)
 		if !ok {
 			return
 		}
 		var rep wire.Heartbeat
 		if err := wire.Decode(body, &rep); err != nil {
-			write(w, eventloop.Reply{Code: eventloop.ReplyInvalid, Body: wire.ErrorAnswer{Error: "malformed report"}})
+			writeReply(w, eventloop.Reply{Code: eventloop.ReplyInvalid, Body: wire.ErrorAnswer{Error: "malformed report"}})
 			return
 		}
-		serve(w, r, b, answerWithin, func(req uint64) eventloop.Event { return eventloop.HeartbeatRequest{Req: req, Heartbeat: rep} })
+		serve(w, r, b, requestTimeout, func(req uint64) eventloop.Event { return eventloop.HeartbeatRequest{Req: req, Heartbeat: rep} })
 	})
 	return mux
 }
 
 // read reads a body within the limit.
-func read(w http.ResponseWriter, r *http.Request) ([]byte, bool) {
+func readBody(w http.ResponseWriter, r *http.Request) ([]byte, bool) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, wire.MaxBody))
 	if err == nil {
 		return body, true
 	}
-	// Too large is malformed as well: on any other status users would try again.
-	write(w, eventloop.Reply{Code: eventloop.ReplyInvalid, Body: wire.ErrorAnswer{Error: "body too large or cut short"}})
+	// Too large counts as malformed: on any other status users would try again.
+	writeReply(w, eventloop.Reply{Code: eventloop.ReplyInvalid, Body: wire.ErrorAnswer{Error: "body too large or cut short"}})
 	return nil, false
 }
 
-// serve passes a request to the core and writes its reply, or that there is none
-// within the time given.
+// serve passes a request to the core and writes its reply, or that there is none within
+// the given time.
 func serve(w http.ResponseWriter, r *http.Request, b Backend, within time.Duration, event func(req uint64) eventloop.Event) {
 	ctx, cancel := context.WithTimeout(r.Context(), within)
 	defer cancel()
 	reply, err := b.Ask(ctx, event)
-	// The right to give this answer is checked when it is written, not when
-	// it was decided: a busy machine may have been in between.
+	// The right to give this answer is checked when it is written, not when it was
+	// decided: a busy machine may delay the one after the other.
 	if err != nil || (!reply.Until.IsZero() && !time.Now().Before(reply.Until)) {
 		reply = eventloop.Reply{Code: eventloop.ReplyUnavailable, Body: wire.ErrorAnswer{Error: "not now"}, RetryAfter: 1}
 	}
-	write(w, reply)
+	writeReply(w, reply)
 }
 
-func write(w http.ResponseWriter, reply eventloop.Reply) {
+// writeReply writes a reply with its status and headers.
+func writeReply(w http.ResponseWriter, reply eventloop.Reply) {
 	body, err := wire.Encode(reply.Body)
 	if err != nil {
 		w.WriteHeader(http.StatusInternalServerError)
@@ -106,7 +108,7 @@
 		h.Set("Retry-After", strconv.Itoa(reply.RetryAfter))
 	}
 	w.WriteHeader(statusOf(reply.Code))
-	// A client that is gone reads no answer; there is nobody to tell.
+	// A client that is gone reads no answer; there is nothing to do about that.
 	_, _ = w.Write(body)
 }
 
--- a/internal/edge/node/node.go
+++ b/internal/edge/node/node.go
@@ -1,5 +1,7 @@
-// Package node runs a controller's core: one goroutine owns it, hands it
-// events and carries out its effects.
+// Package node runs a controller's core: one goroutine owns the core, passes it events and
+// carries out its effects. It owns the goroutines of calls that wait, each of which comes
+// back as one event, and the requests that wait for a reply. It decides nothing, but checks
+// the deadline of a right once more where an effect goes out.
 package node
 
 import (
@@ -21,63 +23,66 @@
 	"fawncove/internal/wire"
 )
 
-// tickEvery is the pace of what time alone brings about. The machines are
-// small, so wake-ups are kept few.
-const tickEvery = 150 * time.Millisecond
+// tickInterval is the time between ticks. The machines are small, so wake-ups are kept few.
+const tickInterval = 150 * time.Millisecond
+
+// statePageSize is how many keys a page of a range read holds.
+const statePageSize = 500
 
 // Node carries out a core's effects.
 type Node struct {
-	core    *controller.Core
-	log     *slog.Logger
-	store   *statestore.Store
-	cloud   *cloud.Cloud
-	workers *client.Client
-	links   map[string]*peer.Link
-	events  chan eventloop.Event
-	asks    chan ask
-	pending map[uint64]chan eventloop.Reply
-	nextReq uint64
-	usage   usage
-	sockets *Sockets
-	healthy atomic.Bool
-	left    atomic.Bool
+	core          *controller.Core
+	log           *slog.Logger
+	store         *statestore.Store
+	cloud         *cloud.Cloud
+	workers       *client.Client
+	links         map[string]*peer.Link
+	events        chan eventloop.Event
+	requests      chan request
+	awaitingReply map[uint64]chan eventloop.Reply
+	lastRequest   uint64
+	usage         usage
+	sockets       *Sockets
+	healthy       atomic.Bool
+	handedOver    atomic.Bool
 }
 
-type ask struct {
+// request is one that is to be passed to the core, and where its reply goes.
+type request struct {
 	event func(req uint64) eventloop.Event
 	reply chan eventloop.Reply
 }
 
-// directPart is the part of the machine's sockets that idle direct connections
+// idleDirectShare is the part of the machine's sockets that idle direct connections
 // to workers may take while nothing else needs them. Near the limit they are the
 // first to be closed, see Sockets.
-const directPart = 0.4
+const idleDirectShare = 0.4
 
 // New returns a node for a core and its edges, on a machine of so many sockets;
 // 0 means no limit.
 func New(core *controller.Core, log *slog.Logger, store *statestore.Store, cl *cloud.Cloud, links map[string]*peer.Link, sockets int) *Node {
-	workers := client.New(2, 1<<20, int(directPart*float64(sockets)))
+	workers := client.New(2, 1<<20, int(idleDirectShare*float64(sockets)))
 	n := &Node{core: core, log: log, store: store, cloud: cl, links: links,
-		workers: workers,
-		sockets: newSockets(sockets, workers.CloseIdle),
-		events:  make(chan eventloop.Event, 256),
-		asks:    make(chan ask, 256),
-		pending: map[uint64]chan eventloop.Reply{},
+		workers:       workers,
+		sockets:       newSockets(sockets, workers.CloseIdle),
+		events:        make(chan eventloop.Event, 256),
+		requests:      make(chan request, 256),
+		awaitingReply: map[uint64]chan eventloop.Reply{},
 	}
 	workers.CountDials(n.sockets)
 	return n
 }
 
-// Healthy tells whether users can be served here.
+// Healthy reports whether users can be served here.
 func (n *Node) Healthy() bool { return n.healthy.Load() }
 
-// Leave gives up all that this controller holds, and returns when others have
+// Leave gives up all that this controller holds, and returns when other controllers have
 // it, or when ctx ends.
 func (n *Node) Leave(ctx context.Context) error {
 	n.events <- eventloop.Shutdown{}
-	tick := time.NewTicker(tickEvery)
+	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
-	for !n.left.Load() {
+	for !n.handedOver.Load() {
 		select {
 		case <-tick.C:
 		case <-ctx.Done():
@@ -90,11 +95,11 @@
 // Sockets counts the connections of users and workers.
 func (n *Node) Sockets() *Sockets { return n.sockets }
 
-// Ask hands a request to the core and waits for its reply.
+// Ask passes a request to the core and waits for its reply.
 func (n *Node) Ask(ctx context.Context, event func(req uint64) eventloop.Event) (eventloop.Reply, error) {
-	a := ask{event, make(chan eventloop.Reply, 1)}
+	a := request{event, make(chan eventloop.Reply, 1)}
 	select {
-	case n.asks <- a:
+	case n.requests <- a:
 	case <-ctx.Done():
 		return eventloop.Reply{}, ctx.Err()
 	}
@@ -106,12 +111,12 @@
 	}
 }
 
-// Peer hands a frame from another controller to the core.
+// Peer passes a frame of another controller to the core.
 func (n *Node) Peer(f *peerpb.Frame) { n.events <- eventloop.PeerFrame{Frame: f} }
 
-// Run owns the core until ctx ends.
+// Run owns the core until ctx ends. It must be called once.
 func (n *Node) Run(ctx context.Context) {
-	tick := time.NewTicker(tickEvery)
+	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
 	n.step(ctx, eventloop.Tick{})
 	for {
@@ -120,113 +125,135 @@
 			return
 		case ev := <-n.events:
 			n.step(ctx, ev)
-		case a := <-n.asks:
-			n.nextReq++
-			n.pending[n.nextReq] = a.reply
-			n.step(ctx, a.event(n.nextReq))
+		case a := <-n.requests:
+			n.lastRequest++
+			n.awaitingReply[n.lastRequest] = a.reply
+			n.step(ctx, a.event(n.lastRequest))
 		case <-tick.C:
 			n.step(ctx, eventloop.Tick{})
 		}
 	}
 }
 
+// step passes an event to the core and carries out its effects.
 func (n *Node) step(ctx context.Context, ev eventloop.Event) {
 	now := time.Now()
-	n.usage.event(now)
+	n.usage.countEvent(now)
 	for _, e := range n.core.Step(now, ev) {
-		n.usage.count(e)
+		n.usage.countEffect(e)
 		n.carryOut(ctx, e)
 	}
 	n.logUsage(now)
 	n.healthy.Store(n.core.Healthy())
-	n.left.Store(n.core.HandedOver())
+	n.handedOver.Store(n.core.HandedOver())
 }
 
-// carryOut does what the core asks for; whatever waits runs on the side and
-// comes back as an event.
-func (n *Node) carryOut(ctx context.Context, e eventloop.Effect) {
-	back := func(f func() eventloop.Completion) {
+// carryOut carries out an effect. Calls that wait run in a goroutine of their own and come
+// back as an event.
+func (n *Node) carryOut(ctx context.Context, effect eventloop.Effect) {
+	switch e := effect.(type) {
+	case eventloop.Reply:
+		if reply := n.awaitingReply[e.Req]; reply != nil {
+			delete(n.awaitingReply, e.Req)
+			reply <- e
+		}
+	case eventloop.PeerSend:
+		if link := n.links[e.To]; link != nil {
+			link.Send(e.Frame)
+		}
+	default:
 		go func() {
-			done := f()
+			completion, ok := n.call(ctx, effect)
+			if !ok {
+				return
+			}
 			select {
-			case n.events <- done:
+			case n.events <- completion:
 			case <-ctx.Done():
 			}
 		}()
 	}
-	switch e := e.(type) {
-	case eventloop.Reply:
-		if ch := n.pending[e.Req]; ch != nil {
-			delete(n.pending, e.Req)
-			ch <- e
-		}
-	case eventloop.PeerSend:
-		if l := n.links[e.To]; l != nil {
-			l.Send(e.Frame)
-		}
+}
+
+// call carries out an effect that waits for an answer; ok is false for any other.
+func (n *Node) call(ctx context.Context, effect eventloop.Effect) (completion eventloop.Completion, ok bool) {
+	if completion, ok = n.callState(ctx, effect); ok {
+		return completion, true
+	}
+	if completion, ok = n.callCloud(ctx, effect); ok {
+		return completion, true
+	}
+	if e, isCommands := effect.(eventloop.WorkerCommands); isCommands {
+		return n.sendCommands(ctx, e), true
+	}
+	return completion, false
+}
+
+// callState calls the state service; ok is false for an effect of another kind.
+func (n *Node) callState(ctx context.Context, effect eventloop.Effect) (completion eventloop.Completion, ok bool) {
+	done := eventloop.Completion{FromStateService: true}
+	var err error
+	var what string
+	switch e := effect.(type) {
 	case eventloop.StateTxn:
-		back(func() eventloop.Completion {
-			outcome, a, err := n.store.Txn(ctx, e.Txn, e.LeaseBudget)
-			n.logFailure("txn", outcome, err)
-			return eventloop.Completion{ID: e.ID, FromStateService: true, Outcome: outcome, Txn: a}
-		})
+		what, done.ID = "txn", e.ID
+		done.Outcome, done.Txn, err = n.store.Txn(ctx, e.Txn, e.LeaseBudget)
 	case eventloop.StateGet:
-		back(func() eventloop.Completion {
-			outcome, p, err := n.store.Get(ctx, e.Key)
-			n.logFailure("get", outcome, err)
-			return eventloop.Completion{ID: e.ID, FromStateService: true, Outcome: outcome, Pair: p}
-		})
+		what, done.ID = "get", e.ID
+		done.Outcome, done.Pair, err = n.store.Get(ctx, e.Key)
 	case eventloop.StateRange:
-		back(func() eventloop.Completion {
-			outcome, p, err := n.store.Range(ctx, e.Prefix, e.After, 500)
-			n.logFailure("range", outcome, err)
-			return eventloop.Completion{ID: e.ID, FromStateService: true, Outcome: outcome, Page: p}
-		})
+		what, done.ID = "range", e.ID
+		done.Outcome, done.Page, err = n.store.Range(ctx, e.Prefix, e.After, statePageSize)
 	case eventloop.StateWatch:
-		back(func() eventloop.Completion {
-			outcome, w, err := n.store.Watch(ctx, e.Prefix, e.After, e.Hold)
-			n.logFailure("watch", outcome, err)
-			return eventloop.Completion{ID: e.ID, FromStateService: true, Outcome: outcome, Changes: w}
-		})
+		what, done.ID = "watch", e.ID
+		done.Outcome, done.Changes, err = n.store.Watch(ctx, e.Prefix, e.After, e.Hold)
+	default:
+		return done, false
+	}
+	n.logFailure(what, done.Outcome, err)
+	return done, true
+}
+
+// callCloud calls the cloud; ok is false for an effect of another kind.
+func (n *Node) callCloud(ctx context.Context, effect eventloop.Effect) (completion eventloop.Completion, ok bool) {
+	var done eventloop.Completion
+	var err error
+	var what string
+	switch e := effect.(type) {
 	case eventloop.CloudTypes:
-		back(func() eventloop.Completion {
-			outcome, t, err := n.cloud.Types(ctx)
-			n.logFailure("machine types", outcome, err)
-			return eventloop.Completion{ID: e.ID, Outcome: outcome, Types: t}
-		})
+		what, done.ID = "machine types", e.ID
+		done.Outcome, done.Types, err = n.cloud.Types(ctx)
 	case eventloop.CloudCreate:
-		back(func() eventloop.Completion {
-			outcome, names, err := n.cloud.Create(ctx, e.Request)
-			n.logFailure("rent", outcome, err)
-			return eventloop.Completion{ID: e.ID, Outcome: outcome, Names: names.Machines}
-		})
+		var created wire.Names
+		what, done.ID = "rent", e.ID
+		done.Outcome, created, err = n.cloud.Create(ctx, e.Request)
+		done.Names = created.Machines
 	case eventloop.CloudDelete:
-		back(func() eventloop.Completion {
-			outcome, err := n.cloud.Delete(ctx, e.Names)
-			n.logFailure("release", outcome, err)
-			return eventloop.Completion{ID: e.ID, Outcome: outcome}
-		})
+		what, done.ID = "release", e.ID
+		done.Outcome, err = n.cloud.Delete(ctx, e.Names)
 	case eventloop.CloudList:
-		back(func() eventloop.Completion {
-			outcome, l, err := n.cloud.List(ctx, e.After)
-			n.logFailure("list", outcome, err)
-			return eventloop.Completion{ID: e.ID, Outcome: outcome, Machines: l}
-		})
-	case eventloop.WorkerCommands:
-		back(func() eventloop.Completion {
-			// The right is checked again at the last moment.
-			if !time.Now().Before(e.Until) {
-				return eventloop.Completion{ID: e.ID, Outcome: eventloop.NotSent}
-			}
-			ctx, cancel := context.WithTimeout(ctx, owner.DirectTimeout)
-			defer cancel()
-			var r wire.Heartbeat
-			status, err := n.workers.Do(ctx, http.MethodPost, "http://"+e.Endpoint+"/commands", e.Body, &r, http.StatusOK, http.StatusConflict)
-			outcome := client.OutcomeOf(status)
-			n.logFailure("commands", outcome, err)
-			return eventloop.Completion{ID: e.ID, Outcome: outcome, Heartbeat: &r}
-		})
+		what, done.ID = "list", e.ID
+		done.Outcome, done.Machines, err = n.cloud.List(ctx, e.After)
+	default:
+		return done, false
+	}
+	n.logFailure(what, done.Outcome, err)
+	return done, true
+}
+
+// sendCommands sends commands to a worker. The right to send them is checked once more at
+// the last moment.
+func (n *Node) sendCommands(ctx context.Context, e eventloop.WorkerCommands) eventloop.Completion {
+	if !time.Now().Before(e.Until) {
+		return eventloop.Completion{ID: e.ID, Outcome: eventloop.NotSent}
 	}
+	ctx, cancel := context.WithTimeout(ctx, owner.DirectTimeout)
+	defer cancel()
+	var heartbeat wire.Heartbeat
+	status, err := n.workers.Do(ctx, http.MethodPost, "http://"+e.Endpoint+"/commands", e.Body, &heartbeat, http.StatusOK, http.StatusConflict)
+	outcome := client.OutcomeOf(status)
+	n.logFailure("commands", outcome, err)
+	return eventloop.Completion{ID: e.ID, Outcome: outcome, Heartbeat: &heartbeat}
 }
 
 // logFailure logs a call that failed.
--- a/internal/edge/node/sockets.go
+++ b/internal/edge/node/sockets.go
@@ -9,14 +9,14 @@
 )
 
 const (
-	// closeIdleFrom is the part of the machine's sockets from which on idle
+	// closeIdleAbove is the part of the machine's sockets from which on idle
 	// connections are closed. The rest is for what comes at once: connections
 	// that are being accepted or dialled, and those to the other controllers, the
 	// state service and the cloud, some thirty, which are not counted here.
-	closeIdleFrom = 0.9
-	// staleTo is the part of the sockets down to which stale connections are
+	closeIdleAbove = 0.9
+	// closeStaleDownTo is the part of the sockets down to which stale connections are
 	// closed then, so that not every new connection closes another.
-	staleTo = 0.8
+	closeStaleDownTo = 0.8
 	// staleAfter is for how long a connection has to be idle to count as stale.
 	// Workers report every few seconds: this one has turned to another controller,
 	// or its user has no more questions.
@@ -116,20 +116,20 @@
 
 // makeRoom closes idle connections when there are too many in all.
 func (s *Sockets) makeRoom() {
-	if !s.beyond(closeIdleFrom) {
+	if !s.above(closeIdleAbove) {
 		return
 	}
-	s.closeIdle(staleTo, s.takeStale)
-	if s.beyond(closeIdleFrom) {
+	s.closeIdle(closeStaleDownTo, s.takeStale)
+	if s.above(closeIdleAbove) {
 		s.closeDirect()
 	}
-	s.closeIdle(closeIdleFrom, s.takeAny)
+	s.closeIdle(closeIdleAbove, s.takeAny)
 }
 
 // closeIdle closes connections that take chooses until all connections take no
 // more than a part of the limit, or take finds none.
 func (s *Sockets) closeIdle(part float64, take func() net.Conn) {
-	for s.beyond(part) {
+	for s.above(part) {
 		c := take()
 		if c == nil {
 			return
@@ -140,7 +140,7 @@
 }
 
 // beyond reports whether all connections take more than a part of the limit.
-func (s *Sockets) beyond(part float64) bool {
+func (s *Sockets) above(part float64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.limit > 0 && float64(len(s.connections)+s.direct) > part*float64(s.limit)
--- a/internal/edge/node/sockets_test.go
+++ b/internal/edge/node/sockets_test.go
@@ -60,7 +60,7 @@
 		stale := open(s, 40, http.StateIdle)
 		time.Sleep(staleAfter)
 		fresh := open(s, 50, http.StateActive)
-		if n := closedOf(stale); n != 0 || s.beyond(closeIdleFrom) {
+		if n := closedOf(stale); n != 0 || s.above(closeIdleAbove) {
 			t.Fatalf("90 connections of 100: %d closed", n)
 		}
 		fresh = append(fresh, open(s, 1, http.StateActive)...)
@@ -136,7 +136,7 @@
 		if again := dials - workers; again > (rounds-1)*workers/2 {
 			t.Errorf("%d of %d reports found their connection closed", again, (rounds-1)*workers)
 		}
-		if got := s.counts().open; got > closeIdleFrom*limit {
+		if got := s.counts().open; got > closeIdleAbove*limit {
 			t.Errorf("%d connections open, with %d sockets", got, limit)
 		}
 	})
@@ -207,7 +207,7 @@
 		}
 	}
 	// One client at a time: besides those within the limit only the newest.
-	if got := most.Load(); got > closeIdleFrom*limit+1 {
+	if got := most.Load(); got > closeIdleAbove*limit+1 {
 		t.Errorf("%d connections open at once, with %d sockets", got, limit)
 	}
 	for _, c := range each {
--- a/internal/edge/node/usage.go
+++ b/internal/edge/node/usage.go
@@ -7,12 +7,12 @@
 	"fawncove/internal/core/eventloop"
 )
 
-// usageEvery is how often the use of the budgets is logged.
-const usageEvery = time.Minute
+// usageInterval is how often the use of limited resources is logged.
+const usageInterval = time.Minute
 
-// usage counts what a controller takes of its budgets between two logs.
+// usage counts what a controller uses of limited resources between two logs.
 type usage struct {
-	at                      time.Time
+	since                   time.Time
 	reads, changes, calls   int // of the state service and the cloud
 	commands, busiestSecond int // direct commands; most events in a second
 	second                  time.Time
@@ -20,8 +20,8 @@
 	closedIdle              int // idle connections closed to make room, at the last log
 }
 
-// count notes an effect that costs something.
-func (u *usage) count(e eventloop.Effect) {
+// countEffect counts an effect that uses a limited resource.
+func (u *usage) countEffect(e eventloop.Effect) {
 	switch e := e.(type) {
 	case eventloop.StateTxn:
 		u.reads++
@@ -35,24 +35,24 @@
 	}
 }
 
-// event notes that an event came.
-func (u *usage) event(now time.Time) {
+// countEvent counts an event.
+func (u *usage) countEvent(now time.Time) {
 	if now.Sub(u.second) >= time.Second {
 		u.busiestSecond, u.events, u.second = max(u.busiestSecond, u.events), 0, now
 	}
 	u.events++
 }
 
-// logUsage logs what was used since the last time, per second where that is
-// what the settings limit.
+// logUsage logs what was used since the last time, per second where the settings limit it
+// so.
 func (n *Node) logUsage(now time.Time) {
 	u := &n.usage
-	if u.at.IsZero() {
-		*u = usage{at: now, second: now}
+	if u.since.IsZero() {
+		*u = usage{since: now, second: now}
 		return
 	}
-	took := now.Sub(u.at)
-	if took < usageEvery {
+	took := now.Sub(u.since)
+	if took < usageInterval {
 		return
 	}
 	sample := []metrics.Sample{{Name: "/memory/classes/total:bytes"}}
@@ -63,5 +63,5 @@
 		"connections_closed", sockets.closedIdle-u.closedIdle, "memory_mb", sample[0].Value.Uint64()>>20,
 		"state_requests_per_s", rate(u.reads), "state_changes_per_s", rate(u.changes), "cloud_calls_per_s", rate(u.calls),
 		"commands_per_s", rate(u.commands), "busiest_second_events", max(u.busiestSecond, u.events))
-	*u = usage{at: now, second: now, closedIdle: sockets.closedIdle}
+	*u = usage{since: now, second: now, closedIdle: sockets.closedIdle}
 }
