--- a/internal/edge/node/node.go
+++ b/internal/edge/node/node.go
@@ -48,8 +48,8 @@
 }
 
 // directPart is the part of the machine's sockets that idle direct connections
-// to workers may take while nothing else needs them. Near the limit they are the
-// first to be closed, see Sockets.
+// to workers may take while nothing else needs them. Near the limit they are
+// closed, see Sockets.
 const directPart = 0.4
 
 // New returns a node for a core and its edges, on a machine of so many sockets;
