--- a/internal/core/owner/heartbeat.go
+++ b/internal/core/owner/heartbeat.go
@@ -13,6 +13,9 @@
 // controller.
 const answerTimeout = 5 * time.Second
 
+// heartbeatSlack is how much later than expected a heartbeat may come.
+const heartbeatSlack = 2 * time.Second
+
 // largeBlock is from how many machines on some machine of a block reports all the time.
 const largeBlock = 8
 
@@ -45,6 +48,11 @@
 		o.answerHeartbeat(e.Req, o.answerDeadline(), o.fencingToken(m), []wire.Command{})
 		return
 	}
+	o.acknowledge(e.Req, m)
+}
+
+// acknowledge answers the newest heartbeat of a machine of the block, with commands.
+func (o *Owner) acknowledge(req uint64, m *machine) {
 	o.fenceOverdueCommand(m)
 	m.lastAcknowledged = o.loop.Now
 	m.answeringHeartbeat = true
@@ -55,7 +63,7 @@
 	if slices.ContainsFunc(commands, func(c wire.Command) bool { return c.Op == wire.CommandStart }) {
 		deadline = o.startDeadline()
 	}
-	o.answerHeartbeat(e.Req, deadline, o.fencingToken(m), commands)
+	o.answerHeartbeat(req, deadline, o.fencingToken(m), commands)
 }
 
 // answerHeartbeat answers a heartbeat, which renews the worker's lease, unless the answer
@@ -71,7 +79,7 @@
 func (o *Owner) heartbeatGap() time.Duration {
 	interval := config.Seconds(o.view.Settings.Cluster.Workers.ReportS)
 	if len(o.workers.machines) >= largeBlock {
-		return 2*time.Second + interval/2
+		return heartbeatSlack + interval/2
 	}
 	return answerTimeout + interval
 }
@@ -84,5 +92,5 @@
 // AllWorkersElsewhere reports whether none of the block's machines has reported for so long
 // that those which turned to other controllers must have been redirected here meanwhile.
 func (o *Owner) AllWorkersElsewhere() bool {
-	return len(o.workers.machines) > 0 && o.loop.Now.Sub(o.workers.lastHeartbeat) > o.heartbeatGap()+redirectInterval+2*time.Second
+	return len(o.workers.machines) > 0 && o.loop.Now.Sub(o.workers.lastHeartbeat) > o.heartbeatGap()+redirectInterval+heartbeatSlack
 }
