--- a/internal/core/blocklease/blocklease_test.go
+++ b/internal/core/blocklease/blocklease_test.go
@@ -9,10 +9,10 @@
 
 var start = time.Date(2026, 3, 1, 6, 0, 0, 0, time.UTC)
 
-// TestRightCountsFromSending guards against a holder that counts its lease from
+// TestLeaseCountsFromSending guards against a holder that counts its lease from
 // when it saw the value: the leader counts from its write, which may have been
 // seen half a minute late, after the successor's first starts.
-func TestRightCountsFromSending(t *testing.T) {
+func TestLeaseCountsFromSending(t *testing.T) {
 	h := New(7, 20*time.Second)
 	n := h.RecordRenewal(start)
 	h.Renewed(wire.Block{Grant: 5, Incarnation: 7, Renewal: n})
@@ -36,9 +36,9 @@
 	}
 }
 
-// TestNumbersAreNeverUsedTwice expects tokens and attempts to rise with every
+// TestTokensAndAttemptsAreNeverReused expects tokens and attempts to rise with every
 // grant, however many were used under the one before.
-func TestNumbersAreNeverUsedTwice(t *testing.T) {
+func TestTokensAndAttemptsAreNeverReused(t *testing.T) {
 	h := New(7, 20*time.Second)
 	last := uint64(0)
 	for grant := uint64(1 << 16); grant < 1<<16+3; grant++ {
@@ -57,16 +57,16 @@
 	}
 }
 
-// TestLostBlockLeavesNothing expects that a lost block leaves no right, no
-// promise, and no renewal that a later value could honour.
-func TestLostBlockLeavesNothing(t *testing.T) {
+// TestReleasedBlockLeavesNoRight expects that a block that was lost leaves no right,
+// no reservation, and no renewal that a later value could honour.
+func TestReleasedBlockLeavesNoRight(t *testing.T) {
 	h := New(7, 20*time.Second)
 	n := h.RecordRenewal(start)
 	h.Renewed(wire.Block{Grant: 5, Incarnation: 7, Renewal: n})
 	h.Reserve(h.NextRenewal(), "red", wire.Share{CPUs: 3})
 	old := h.RecordRenewal(start)
 	if got := h.UsableShare("red", wire.Share{CPUs: 10}); got.CPUs != 3 {
-		t.Errorf("%d processors though 3 were promised", got.CPUs)
+		t.Errorf("%d processors though 3 were reserved", got.CPUs)
 	}
 	h.Release()
 	h.RaiseIncarnation(h.Incarnation())
