--- a/internal/core/controller/recovery_write.go
+++ b/internal/core/controller/recovery_write.go
@@ -38,14 +38,14 @@
 // missingWrites returns the transactions that store what is known here and not there.
 func (c *Core) missingWrites(s *storedState) ([]wire.Txn, error) {
 	known, limits := c.knownState(), recovery.Limits{Ops: c.view.Settings.Cluster.State.TxnOps, Bytes: maxRestoreTxnBytes}
-	txns, jobs, ends, err := recovery.MissingWrites(&known, &s.records, recovery.Keys{Job: jobPrefix, End: endPrefix}, limits)
+	missing, err := recovery.MissingWrites(&known, &s.records, recovery.Keys{Job: jobPrefix, End: endPrefix}, limits)
 	if err != nil {
 		return nil, err
 	}
-	txns = append(txns, c.missingPages(s, &known)...)
-	if len(txns) > 0 {
-		c.recovery.jobs, c.recovery.ends = max(c.recovery.jobs, jobs), max(c.recovery.ends, ends)
-		c.log.Info("restoring state", "jobs", jobs, "ends", ends, "transactions", len(txns))
+	txns := append(missing.Txns, c.missingPages(s, &known)...)
+	if r := c.recovery; len(txns) > 0 {
+		r.jobs, r.ends = max(r.jobs, missing.Jobs), max(r.ends, missing.Ends)
+		c.log.Info("restoring state", "jobs", missing.Jobs, "ends", missing.Ends, "transactions", len(txns))
 	}
 	return txns, nil
 }
--- a/internal/core/recovery/recovery_test.go
+++ b/internal/core/recovery/recovery_test.go
@@ -10,10 +10,10 @@
 
 var keys = Keys{Job: "j/", End: "t/"}
 
-// TestMissing stores what is known and not there, within the limits of a
-// transaction: ends of jobs that have come back to life before anything else, and
-// nothing that is over as a job.
-func TestMissing(t *testing.T) {
+// TestMissingWritesKeepEndsFinal stores what is known and not there, within the limits of a transaction:
+// ends of jobs whose records are back before anything else, and nothing that has ended as
+// a job.
+func TestMissingWritesKeepEndsFinal(t *testing.T) {
 	m := &KnownState{Jobs: map[string]any{}, Ends: map[string]wire.EndRecord{"zombie": {State: wire.Done}, "gone": {State: wire.Cancelled}, "known": {State: wire.Done}, "other": {State: wire.Done}}}
 	for i := range 30 {
 		m.Jobs[fmt.Sprintf("job-%02d", i)] = strings.Repeat("x", 1000)
@@ -21,10 +21,11 @@
 	m.Jobs["known"], m.Jobs["ended elsewhere"] = "old", "old"
 	f := &StoredState{Jobs: map[string]uint64{"zombie": 7, "job-03": 8}, Ends: map[string]StoredEnd{
 		"known": {wire.Done, 3}, "ended elsewhere": {wire.Done, 4}, "other": {wire.Cancelled, 5}}}
-	txns, jobs, ends, err := MissingWrites(m, f, keys, Limits{Ops: 8, Bytes: 5000})
-	if err != nil || jobs != 29 || ends != 3 {
-		t.Fatalf("%d jobs, %d ends, %v", jobs, ends, err)
+	w, err := MissingWrites(m, f, keys, Limits{Ops: 8, Bytes: 5000})
+	if err != nil || w.Jobs != 29 || w.Ends != 3 {
+		t.Fatalf("%d jobs, %d ends, %v", w.Jobs, w.Ends, err)
 	}
+	txns := w.Txns
 	if first := txns[0].Then; first[0].Delete != "j/zombie" || first[1].Put != "t/zombie" || txns[0].If[0] != (wire.Condition{Key: "j/zombie", Version: 7}) {
 		t.Errorf("first: %+v", txns[0])
 	}
@@ -51,13 +52,13 @@
 			t.Errorf("%s is stored", key)
 		}
 	}
-	if again, _, _, _ := MissingWrites(&KnownState{}, f, keys, Limits{Ops: 8, Bytes: 5000}); len(again) != 0 {
-		t.Errorf("%d transactions for nothing", len(again))
+	if again, _ := MissingWrites(&KnownState{}, f, keys, Limits{Ops: 8, Bytes: 5000}); len(again.Txns) != 0 {
+		t.Errorf("%d transactions for nothing", len(again.Txns))
 	}
 }
 
-// TestEntries stores completed tasks that the state does not show, and only those.
-func TestEntries(t *testing.T) {
+// TestOnlyMissingCompletedTasksAreStored stores completed tasks that the state does not show, and only those.
+func TestOnlyMissingCompletedTasksAreStored(t *testing.T) {
 	m := &KnownState{CompletedTasks: map[string][]byte{"a": {1, 2}, "b": {8}, "c": make([]byte, 300)}}
 	m.CompletedTasks["c"][299] = 1
 	f := &StoredState{CompletedTasks: map[string][]byte{"a": {3, 2, 1}, "b": {4}}}
@@ -67,9 +68,9 @@
 	}
 }
 
-// TestLease joins the value of before the loss with an older one that was found: no
+// TestMergedLeaseReusesNoTermOrMachine joins the value of before the loss with an older one that was found: no
 // term, token or machine of either may be taken for new, and no limit is given twice.
-func TestLease(t *testing.T) {
+func TestMergedLeaseReusesNoTermOrMachine(t *testing.T) {
 	before := &wire.LeaseRecord{Term: 9, Sequence: 50, Form: 3, Level: 2, Confirmed: 2, Leader: "n1", Partitions: map[string]string{"red": "n1", "red #2": "n2"},
 		Blocks: map[string]wire.Block{"n1": {Machines: wire.NameSet{"host-1"}, Unreconciled: wire.NameSet{"host-2"}}, "n2": {Machines: wire.NameSet{"host-3"}}},
 		Shares: map[string]wire.Shares{"red": {"n1": {CPUs: 10}, "n2": {CPUs: 20}}}}
