--- a/internal/core/controller/controller_test.go
+++ b/internal/core/controller/controller_test.go
@@ -13,10 +13,10 @@
 	"fawncove/internal/wire"
 )
 
-// TestBadInputChangesNothing sends what no client, worker, controller or store should, while the
-// state service answers and while it is away. Nothing of it may end the process or
-// change what is known; users and workers are answered at once, with 503 and when to
-// come back where the right answer cannot be known.
+// TestBadInputChangesNothing sends what no client, worker, controller or store should,
+// while the state service answers and while it is unreachable. Nothing of it may end the
+// process or change what is known; users and workers are answered at once, with 503 and
+// when to come back where the right answer cannot be known.
 func TestBadInputChangesNothing(t *testing.T) {
 	raw := func(v any) []byte {
 		b, err := wire.Encode(v)
@@ -34,17 +34,17 @@
 	}{
 		"a submission without an id":       {eventloop.SubmitRequest{Req: 1, Err: io.ErrUnexpectedEOF}, eventloop.ReplyInvalid, eventloop.ReplyInvalid},
 		"a malformed submission":           {eventloop.SubmitRequest{Req: 1, Job: wire.Job{ID: "wk-000009"}, Err: io.ErrUnexpectedEOF}, eventloop.ReplyInvalid, eventloop.ReplyUnavailable},
-		"a question for an impossible id":  {eventloop.QueryRequest{Req: 1, ID: "no/such id"}, eventloop.ReplyNotFound, eventloop.ReplyNotFound},
-		"a question for an unknown id":     {eventloop.QueryRequest{Req: 1, ID: "wk-000009"}, eventloop.ReplyNotFound, eventloop.ReplyUnavailable},
+		"a query of an impossible id":      {eventloop.QueryRequest{Req: 1, ID: "no/such id"}, eventloop.ReplyNotFound, eventloop.ReplyNotFound},
+		"a query of an unknown id":         {eventloop.QueryRequest{Req: 1, ID: "wk-000009"}, eventloop.ReplyNotFound, eventloop.ReplyUnavailable},
 		"a cancellation of an unknown job": {eventloop.CancelRequest{Req: 1, ID: "wk-000009"}, eventloop.ReplyNotFound, eventloop.ReplyUnavailable},
-		"a report without a machine":       {eventloop.HeartbeatRequest{Req: 1, Heartbeat: wire.Heartbeat{AgentEpoch: 1}}, eventloop.ReplyInvalid, eventloop.ReplyInvalid},
-		"a report without a session":       {eventloop.HeartbeatRequest{Req: 1, Heartbeat: wire.Heartbeat{Machine: "host-000001"}}, eventloop.ReplyInvalid, eventloop.ReplyInvalid},
-		"a report of tasks with bad names": {eventloop.HeartbeatRequest{Req: 1, Heartbeat: wire.Heartbeat{Machine: "host-000001", AgentEpoch: 1, Sequence: 1, Token: 1 << 42,
+		"a heartbeat without a machine":    {eventloop.HeartbeatRequest{Req: 1, Heartbeat: wire.Heartbeat{AgentEpoch: 1}}, eventloop.ReplyInvalid, eventloop.ReplyInvalid},
+		"a heartbeat without an epoch":     {eventloop.HeartbeatRequest{Req: 1, Heartbeat: wire.Heartbeat{Machine: "host-000001"}}, eventloop.ReplyInvalid, eventloop.ReplyInvalid},
+		"a heartbeat with bad task names": {eventloop.HeartbeatRequest{Req: 1, Heartbeat: wire.Heartbeat{Machine: "host-000001", AgentEpoch: 1, Sequence: 1, Token: 1 << 42,
 			Tasks: []wire.TaskStatus{{Task: "wk-000001"}, {Task: "wk-000001/-1"}, {Task: "/"}, {Task: "wk-000001/99999999999999999999"}}}}, eventloop.ReplyOK, eventloop.ReplyOK},
-		"a frame of nobody":                {eventloop.PeerFrame{Frame: &peerpb.Frame{From: "n9"}}, eventloop.NoReply, eventloop.NoReply},
+		"a frame of an unknown controller": {eventloop.PeerFrame{Frame: &peerpb.Frame{From: "n9"}}, eventloop.NoReply, eventloop.NoReply},
 		"a frame with names that are none": {eventloop.PeerFrame{Frame: &peerpb.Frame{From: "n1", Renewal: &peerpb.Renewal{Node: "n1", Incarnation: 9, Number: 7, Released: "?", SilentMachines: "?", Reconciled: "?", UnknownEndpoints: "?"}}}, eventloop.NoReply, eventloop.NoReply},
 		"a frame with a view that is none": {eventloop.PeerFrame{Frame: &peerpb.Frame{From: "n1", RecoveryView: []byte{0xc1}}}, eventloop.NoReply, eventloop.NoReply},
-		"an echo that nobody asked for":    {eventloop.PeerFrame{Frame: &peerpb.Frame{From: "n1", CancelledRevision: 1, FreshnessRequest: 1 << 60, FreshnessReplies: []*peerpb.FreshnessReply{{To: "n0", Process: 7, Request: 1 << 60}}}}, eventloop.NoReply, eventloop.NoReply},
+		"a freshness reply to no request":  {eventloop.PeerFrame{Frame: &peerpb.Frame{From: "n1", CancelledRevision: 1, FreshnessRequest: 1 << 60, FreshnessReplies: []*peerpb.FreshnessReply{{To: "n0", Process: 7, Request: 1 << 60}}}}, eventloop.NoReply, eventloop.NoReply},
 		"an answer to no call":             {eventloop.Completion{ID: 1 << 40, Outcome: eventloop.Succeeded, Heartbeat: &wire.Heartbeat{}}, eventloop.NoReply, eventloop.NoReply},
 		"a stored job that cannot be read": {put(jobPrefix+"wk-000009", []byte{0xc1}), eventloop.NoReply, eventloop.NoReply},
 		"a stored job under another's key": {put(jobPrefix+"wk-000009", raw(wire.JobRecord{Job: wire.Job{ID: "wk-000008"}})), eventloop.NoReply, eventloop.NoReply},
@@ -52,58 +52,59 @@
 		"a lease value that is none":       {put(leaseKey, []byte{0xc1}), eventloop.NoReply, eventloop.NoReply},
 		"a renewal that is none":           {put(renewalPrefix+"n1", raw(map[string]string{"pb": "?"})), eventloop.NoReply, eventloop.NoReply},
 		"a generation that is none":        {put(generationKey, []byte{0xc1}), eventloop.NoReply, eventloop.NoReply},
-		"a level that is none":             {put(OperatorRequestKey, []byte{0xc1}), eventloop.NoReply, eventloop.NoReply},
+		"a level record that is none":      {put(OperatorRequestKey, []byte{0xc1}), eventloop.NoReply, eventloop.NoReply},
 	} {
-		for _, away := range []bool{false, true} {
-			c0, start := newCore(t, []config.Team{{Name: "free"}}, wire.LeaseRecord{Term: 3, Leader: "n0", Incarnation: 7, Partitions: map[string]string{"free": "n0"},
-				Blocks: map[string]wire.Block{"n0": {Grant: 1 << 18, Incarnation: 7, Machines: []string{"host-000001"}}}})
-			want, now, watch := c.well, start, uint64(0)
-			if away {
-				want, now = c.away, start.Add(stateTimeout)
-			}
-			// handle carries out an event, and answers what it asks of the state service.
-			var handle func(ev eventloop.Event) eventloop.ReplyCode
-			handle = func(ev eventloop.Event) (code eventloop.ReplyCode) {
-				for _, e := range c0.Step(now, ev) {
-					switch e := e.(type) {
-					case eventloop.Reply:
-						if code = e.Code; code == eventloop.ReplyUnavailable && e.RetryAfter == 0 {
-							t.Errorf("%s, away: %v: unavailable without when to come back", name, away)
-						}
-					case eventloop.StateTxn:
-						if len(e.Txn.Then) == 0 && !away {
-							if later := handle(eventloop.Completion{ID: e.ID, FromStateService: true, Outcome: eventloop.Succeeded, Txn: wire.TxnAnswer{Revision: 9}}); later != eventloop.NoReply {
-								code = later
+		t.Run(name, func(t *testing.T) {
+			for _, away := range []bool{false, true} {
+				c0, start := newCore(t, []config.Team{{Name: "free"}}, wire.LeaseRecord{Term: 3, Leader: "n0", Incarnation: 7, Partitions: map[string]string{"free": "n0"},
+					Blocks: map[string]wire.Block{"n0": {Grant: 1 << 18, Incarnation: 7, Machines: []string{"host-000001"}}}})
+				want, now, watch := c.well, start, uint64(0)
+				if away {
+					want, now = c.away, start.Add(stateTimeout)
+				}
+				// handle carries out an event, and answers what it asks of the state service.
+				var handle func(ev eventloop.Event) eventloop.ReplyCode
+				handle = func(ev eventloop.Event) (code eventloop.ReplyCode) {
+					for _, e := range c0.Step(now, ev) {
+						switch e := e.(type) {
+						case eventloop.Reply:
+							if code = e.Code; code == eventloop.ReplyUnavailable && e.RetryAfter == 0 {
+								t.Errorf("%s, away: %v: unavailable without when to come back", name, away)
 							}
+						case eventloop.StateTxn:
+							if len(e.Txn.Then) == 0 && !away {
+								if later := handle(eventloop.Completion{ID: e.ID, FromStateService: true, Outcome: eventloop.Succeeded, Txn: wire.TxnAnswer{Revision: 9}}); later != eventloop.NoReply {
+									code = later
+								}
+							}
+						case eventloop.StateWatch:
+							watch = e.ID
 						}
-					case eventloop.StateWatch:
-						watch = e.ID
 					}
+					return code
 				}
-				return code
-			}
-			handle(eventloop.Tick{})
-			ev := c.ev
-			if d, ok := ev.(eventloop.Completion); ok && d.ID == 0 {
-				if d.ID = watch; watch == 0 {
-					t.Fatal("no watch is open")
+				handle(eventloop.Tick{})
+				ev := c.ev
+				if d, ok := ev.(eventloop.Completion); ok && d.ID == 0 {
+					if d.ID = watch; watch == 0 {
+						t.Fatal("no watch is open")
+					}
+					ev = d
+				}
+				jobs, version := len(c0.owner.Jobs()), c0.view.LeaseVersion
+				if got := handle(ev); got != want {
+					t.Errorf("%s, away: %v: answered %q, want %q", name, away, got, want)
+				}
+				handle(eventloop.Tick{})
+				if len(c0.owner.Jobs()) != jobs || c0.view.LeaseVersion != version || len(c0.ended.records) > 0 || c0.recovery != nil {
+					t.Errorf("%s, away: %v: changed what is known", name, away)
 				}
-				ev = d
-			}
-			jobs, version := len(c0.owner.Jobs()), c0.view.LeaseVersion
-			if got := handle(ev); got != want {
-				t.Errorf("%s, away: %v: answered %q, want %q", name, away, got, want)
-			}
-			handle(eventloop.Tick{})
-			if len(c0.owner.Jobs()) != jobs || c0.view.LeaseVersion != version || len(c0.ended.records) > 0 || c0.recovery != nil {
-				t.Errorf("%s, away: %v: changed what is known", name, away)
 			}
-		}
+		})
 	}
 }
 
-// newCore returns a core that has read an empty state and holds machines that
-// came from a holder that ended.
+// newCore returns a core that has read an empty state, and a lease value.
 func newCore(t *testing.T, teams []config.Team, rec wire.LeaseRecord) (*Core, time.Time) {
 	t.Helper()
 	s := &config.Settings{HostName: "n0", Area: "x", Peers: []config.Peer{{HostName: "n1", Area: "y"}},
@@ -122,9 +123,9 @@
 	return c, now
 }
 
-// TestStandstillIsNoSilence lets a process stand still for longer than a worker's
-// lease. In its first step afterwards it has heard nobody for so long, and must
-// not take its machines for lost; a silence that it was awake for counts.
+// TestStandstillIsNoSilence lets a process stand still for longer than a worker's lease. In
+// its first step afterwards it has had no heartbeat for so long, and must not take its
+// machines for lost; a silence while it ran counts.
 func TestStandstillIsNoSilence(t *testing.T) {
 	for _, awake := range []bool{false, true} {
 		c, now := newCore(t, []config.Team{{Name: "free"}}, wire.LeaseRecord{Term: 3, Leader: "n1",
--- a/internal/core/controller/lease_read_test.go
+++ b/internal/core/controller/lease_read_test.go
@@ -29,26 +29,28 @@
 		"refused":                      {eventloop.Unavailable, 0, false, false},
 		"newer came while it was read": {eventloop.Succeeded, 5, true, false},
 	} {
-		core, now := newCore(t, []config.Team{{Name: "free"}}, wire.LeaseRecord{Term: 3, Leader: "n1"})
-		core.loop.Begin(now)
-		core.readLease(func(eventloop.Outcome) {})
-		var get eventloop.StateGet
-		for _, e := range core.loop.Effects() {
-			if g, ok := e.(eventloop.StateGet); ok {
-				get = g
+		t.Run(name, func(t *testing.T) {
+			core, now := newCore(t, []config.Team{{Name: "free"}}, wire.LeaseRecord{Term: 3, Leader: "n1"})
+			core.loop.Begin(now)
+			core.readLease(func(eventloop.Outcome) {})
+			var get eventloop.StateGet
+			for _, e := range core.loop.Effects() {
+				if g, ok := e.(eventloop.StateGet); ok {
+					get = g
+				}
 			}
-		}
-		if c.later {
-			core.applyLease(wire.LeaseRecord{Term: 3, Leader: "n1", Sequence: 1}, 6)
-		}
-		raw, err := wire.Encode(wire.LeaseRecord{Term: 3, Leader: "n1"})
-		if err != nil {
-			t.Fatal(err)
-		}
-		core.Step(now.Add(time.Second), eventloop.Completion{ID: get.ID, FromStateService: true, Outcome: c.outcome, Pair: wire.Pair{Key: leaseKey, Value: raw, Version: c.version}})
-		if lost := core.recovery != nil; lost != c.lost {
-			t.Errorf("%s: takes the state for one that has lost data: %v", name, lost)
-		}
+			if c.later {
+				core.applyLease(wire.LeaseRecord{Term: 3, Leader: "n1", Sequence: 1}, 6)
+			}
+			raw, err := wire.Encode(wire.LeaseRecord{Term: 3, Leader: "n1"})
+			if err != nil {
+				t.Fatal(err)
+			}
+			core.Step(now.Add(time.Second), eventloop.Completion{ID: get.ID, FromStateService: true, Outcome: c.outcome, Pair: wire.Pair{Key: leaseKey, Value: raw, Version: c.version}})
+			if lost := core.recovery != nil; lost != c.lost {
+				t.Errorf("%s: takes the state for one that has lost data: %v", name, lost)
+			}
+		})
 	}
 }
 
@@ -73,20 +75,22 @@
 		"truncated":             {future[:3], false},
 		"wrong kind":            {[]byte{0x93, 1, 2, 3}, false},
 	} {
-		c, now := newCore(t, []config.Team{{Name: "free"}}, wire.LeaseRecord{})
-		c.view.LeaseVersion = 0 // as after a start
-		c.applyPut(leaseKey, v.value, 9)
-		if (c.Incompatible() != nil) != v.refused || c.Healthy() {
-			t.Errorf("%s: refused %v, healthy %v", name, c.Incompatible(), c.Healthy())
-		}
-		for s := range 30 {
-			if out := txnsPutting(c.Step(now.Add(time.Duration(s)*time.Second), eventloop.Tick{}), leaseKey); len(out) > 0 {
-				t.Fatalf("%s: takes the lead over a value it cannot read", name)
+		t.Run(name, func(t *testing.T) {
+			c, now := newCore(t, []config.Team{{Name: "free"}}, wire.LeaseRecord{})
+			c.view.LeaseVersion = 0 // as after a start
+			c.applyPut(leaseKey, v.value, 9)
+			if (c.Incompatible() != nil) != v.refused || c.Healthy() {
+				t.Errorf("%s: refused %v, healthy %v", name, c.Incompatible(), c.Healthy())
+			}
+			for s := range 30 {
+				if out := txnsPutting(c.Step(now.Add(time.Duration(s)*time.Second), eventloop.Tick{}), leaseKey); len(out) > 0 {
+					t.Fatalf("%s: takes the lead over a value it cannot read", name)
+				}
+			}
+			reply := c.Step(now.Add(31*time.Second), eventloop.QueryRequest{Req: 1, ID: "wk-000001"})
+			if r, ok := reply[0].(eventloop.Reply); v.refused && (!ok || r.Code != eventloop.ReplyUnavailable || r.RetryAfter == 0) {
+				t.Errorf("%s: a poll gets %+v", name, reply)
 			}
-		}
-		reply := c.Step(now.Add(31*time.Second), eventloop.QueryRequest{Req: 1, ID: "wk-000001"})
-		if r, ok := reply[0].(eventloop.Reply); v.refused && (!ok || r.Code != eventloop.ReplyUnavailable || r.RetryAfter == 0) {
-			t.Errorf("%s: a poll gets %+v", name, reply)
-		}
+		})
 	}
 }
--- a/internal/core/controller/lease_write_test.go
+++ b/internal/core/controller/lease_write_test.go
@@ -12,20 +12,20 @@
 	"fawncove/internal/wire"
 )
 
-// stateStub answers a core's calls to the state service: the lease value is kept by
-// the versions that it had, everything else is not there.
+// stateStub answers a core's calls to the state service: it stores the lease value under
+// its version, and nothing else.
 type stateStub struct {
 	core       *Core
 	now        time.Time
 	lease      wire.LeaseRecord
 	revision   uint64
-	heldWrites []eventloop.StateTxn // lease writes without an answer, not carried out yet
+	heldWrites []eventloop.StateTxn // lease writes without an answer, not executed yet
 	muteWrites bool                 // lease writes get no answer
 	watchID    uint64
-	unanswered []uint64 // calls that get no answer, to be told so in two seconds
+	unanswered []uint64 // calls without an answer
 }
 
-// do hands events to the core until it has nothing more to ask.
+// deliver hands events to the core until it makes no more calls.
 func (k *stateStub) deliver(events ...eventloop.Event) {
 	for len(events) > 0 {
 		ev := events[0]
@@ -74,7 +74,7 @@
 }
 
 // TestRenewalsOfALateWriteCount: a write of the lease value gets no answer and is
-// carried out seconds later. A renewal that it honours gives its holder the right
+// executed seconds later. A renewal that it honours gives its holder the right
 // to start until a lease after that was sent, so the leader may not count the lease
 // from the last write that was answered.
 func TestRenewalsOfALateWriteCount(t *testing.T) {
@@ -96,7 +96,7 @@
 	if got := k.lease.Blocks["n1"].Renewal; got != 2 {
 		t.Fatalf("renewal %d is honoured, want 2", got)
 	}
-	// The holder's last renewal. From here on nothing is heard of it.
+	// The holder's last renewal: it is silent from here on.
 	sent := k.now
 	k.muteWrites = true
 	k.deliver(renewed(3))
@@ -108,7 +108,7 @@
 	if k.core.leader == nil {
 		t.Fatal("does not lead")
 	}
-	// Carried out late, and shown by the watch.
+	// Executed late, and shown by the watch.
 	if a := k.txn(k.heldWrites[0]); a.Outcome != eventloop.Succeeded || k.lease.Blocks["n1"].Renewal != 3 {
 		t.Fatalf("late write: %s, renewal %d", a.Outcome, k.lease.Blocks["n1"].Renewal)
 	}
@@ -154,7 +154,7 @@
 	for i := 7; i < 10000; i += 10 {
 		c.leader.MachineDeleted(fmt.Sprintf("host-%06d", i))
 	}
-	for i, most := range []int{1, 12} { // first the value alone, then as much as fits
+	for i, maxChanges := range []int{1, 12} { // first the value alone, then as much as fits
 		changes := 0
 		c.leaseWriter.inFlight = false
 		for _, e := range c.Step(now.Add(time.Duration(1+i)*6*time.Second), eventloop.Tick{}) {
@@ -162,7 +162,7 @@
 				changes = len(txn.Txn.Then)
 			}
 		}
-		if changes == 0 || changes > most || (i > 0 && changes < 4) {
+		if changes == 0 || changes > maxChanges || (i > 0 && changes < 4) {
 			t.Errorf("write %d takes %d changes", i+1, changes)
 		}
 	}
--- a/internal/core/controller/levels_test.go
+++ b/internal/core/controller/levels_test.go
@@ -19,7 +19,7 @@
 		Blocks: map[string]wire.Block{"n0": {Grant: 1 << 18, Incarnation: 7, Renewal: 1}}, Partitions: map[string]string{"free": "n0"}}
 }
 
-// txns are the transactions among effects that put a key.
+// txnsPutting returns the transactions among effects that put a key.
 func txnsPutting(effects []eventloop.Effect, key string) (out []eventloop.StateTxn) {
 	for _, e := range effects {
 		if x, ok := e.(eventloop.StateTxn); ok && slices.ContainsFunc(x.Txn.Then, func(op wire.Op) bool { return op.Put == key }) {
@@ -29,9 +29,9 @@
 	return out
 }
 
-// TestRaiseIsConditional: a write that raises the level is void if any
-// controller has been replaced, or the operator has spoken, since the leader
-// decided; it may arrive long afterwards.
+// TestRaiseIsConditional: a write that raises the level changes nothing if a controller has
+// been replaced, or the operator's request has changed, since the leader decided; it may
+// arrive long afterwards.
 func TestRaiseIsConditional(t *testing.T) {
 	c, _ := newCore(t, []config.Team{{Name: "free"}}, leaseAtLevel(1, 1))
 	c.view.Controllers["n0"] = cluster.Stored[wire.ControllerRecord]{Version: 11}
@@ -60,8 +60,8 @@
 }
 
 // TestEnvelopesWaitForAll: until all have confirmed the level, a controller that
-// went back in the moment of the raise may still have users, and could not read
-// them. A record whose envelope does not fit is stored without.
+// was downgraded at the moment of the raise may still have users, and could not
+// read them. A record whose envelope does not fit is stored without.
 func TestEnvelopesWaitForAll(t *testing.T) {
 	for _, confirmed := range []feature.Level{1, 2} {
 		c, now := newCore(t, []config.Team{{Name: "free"}}, leaseAtLevel(2, confirmed))
--- a/internal/core/controller/refresh_test.go
+++ b/internal/core/controller/refresh_test.go
@@ -8,9 +8,9 @@
 	"fawncove/internal/wire"
 )
 
-// TestLateReadRevivesNoEndedJob: a repeated submission has a job's record read, which takes long;
-// meanwhile the watch shows the job's end. What was read before must neither be told nor
-// bring the job back.
+// TestLateReadRevivesNoEndedJob: a repeated submission has a job's record read, which takes
+// long; meanwhile the watch shows the job's end. What was read before must neither be
+// answered nor bring the job back.
 func TestLateReadRevivesNoEndedJob(t *testing.T) {
 	const id = "wk-000001"
 	c, now := newCore(t, []config.Team{{Name: "free"}}, wire.LeaseRecord{Term: 3, Leader: "n1", Partitions: map[string]string{"free": "n0"},
@@ -62,9 +62,9 @@
 	}
 }
 
-// TestLateSubmissionIsNoLoss: a submission is carried out late. Its user is told what is
-// there, which is nothing yet when it is read, and the watch shows the record before that
-// answer comes. The state has lost nothing.
+// TestLateSubmissionIsNoLoss: a submission is executed late. Its record is read before, and
+// the watch shows it before the answer to that comes, which has no record. The state has
+// lost nothing.
 func TestLateSubmissionIsNoLoss(t *testing.T) {
 	const id = "wk-000001"
 	c, now := newCore(t, []config.Team{{Name: "free"}}, wire.LeaseRecord{Term: 3, Leader: "n1", Partitions: map[string]string{"free": "n0"},
--- a/internal/core/controller/shards_test.go
+++ b/internal/core/controller/shards_test.go
@@ -37,7 +37,7 @@
 	} {
 		core.load.capacity, core.load.spareCPUs, p.Capacity, p.SpareCPUs = c.own, c.ownSpare, c.other, c.spare
 		if got := core.chooseShard(job(c.priority, c.image)); got != c.want {
-			t.Errorf("%s: filed under %s, want %s", c.name, got, c.want)
+			t.Errorf("%s: goes to %s, want %s", c.name, got, c.want)
 		}
 	}
 }
--- a/internal/core/controller/submit_test.go
+++ b/internal/core/controller/submit_test.go
@@ -1,6 +1,7 @@
 package controller
 
 import (
+	"errors"
 	"io"
 	"testing"
 	"time"
@@ -10,7 +11,7 @@
 	"fawncove/internal/wire"
 )
 
-// TestUnknownMachineTypesRefuseNothing: while the cloud has not told its machine types, no job
+// TestUnknownMachineTypesRefuseNothing: while the machine types have not been read, no job
 // fits any, and none may be refused or accepted for that.
 func TestUnknownMachineTypesRefuseNothing(t *testing.T) {
 	c, now := newCore(t, []config.Team{{Name: "free"}}, wire.LeaseRecord{Term: 3, Leader: "n1", Partitions: map[string]string{"free": "n1"}})
@@ -67,8 +68,8 @@
 	}
 }
 
-// TestRefusedOnlyWhenCertain: what can never run is 422, what is malformed 400 and an
-// unknown id 404, but each only once it is sure that the job was never accepted.
+// TestRefusedOnlyWhenCertain: a job that can never run gets 422, a malformed one 400 and an
+// unknown id 404, but each only once it is certain that the job was never accepted.
 func TestRefusedOnlyWhenCertain(t *testing.T) {
 	teams := []config.Team{{Name: "free"}, {Name: "red", CPUsMax: 8}}
 	fits := wire.Job{ID: "wk-000001", Team: "free", Shape: wire.Array, Priority: "standard", Tasks: 9, CPUs: 2}
@@ -81,41 +82,93 @@
 		ev   eventloop.Event
 		want eventloop.ReplyCode
 	}{
-		"malformed":             {eventloop.SubmitRequest{Req: 1, Job: wire.Job{ID: fits.ID}, Err: io.ErrUnexpectedEOF}, eventloop.ReplyInvalid},
-		"unknown team":          {with(func(j *wire.Job) { j.Team = "nobody" }), eventloop.ReplyUnprocessable},
-		"fits no machine":       {with(func(j *wire.Job) { j.CPUs = 5 }), eventloop.ReplyUnprocessable},
-		"wrong zone":            {with(func(j *wire.Job) { j.Zone = "z" }), eventloop.ReplyUnprocessable},
-		"service over a limit":  {with(func(j *wire.Job) { j.Team, j.Shape = "red", wire.Daemon }), eventloop.ReplyUnprocessable},
-		"poll for nobody's job": {eventloop.QueryRequest{Req: 1, ID: fits.ID}, eventloop.ReplyNotFound},
+		"malformed":               {eventloop.SubmitRequest{Req: 1, Job: wire.Job{ID: fits.ID}, Err: io.ErrUnexpectedEOF}, eventloop.ReplyInvalid},
+		"unknown team":            {with(func(j *wire.Job) { j.Team = "nobody" }), eventloop.ReplyUnprocessable},
+		"fits no machine":         {with(func(j *wire.Job) { j.CPUs = 5 }), eventloop.ReplyUnprocessable},
+		"wrong zone":              {with(func(j *wire.Job) { j.Zone = "z" }), eventloop.ReplyUnprocessable},
+		"service over a limit":    {with(func(j *wire.Job) { j.Team, j.Shape = "red", wire.Daemon }), eventloop.ReplyUnprocessable},
+		"query of an unknown job": {eventloop.QueryRequest{Req: 1, ID: fits.ID}, eventloop.ReplyNotFound},
 	} {
-		for what, want := range map[string]eventloop.ReplyCode{"says so": c.want, "does not answer": eventloop.ReplyUnavailable, "says so to one that just woke": eventloop.ReplyUnavailable} {
-			outcome := eventloop.Succeeded
-			if what == "does not answer" {
-				outcome = eventloop.NoAnswer
-			}
-			core, now := newCore(t, teams, wire.LeaseRecord{Term: 3, Leader: "n1", Blocks: map[string]wire.Block{"n0": {Grant: 1 << 18, Incarnation: 7}}})
-			if what == "says so to one that just woke" {
-				core.resumedAt = now // the state may have lost the job meanwhile
-			}
-			got := eventloop.NoReply
-			// Without an answer it is asked again until its user waits no longer.
-			for events, end := []eventloop.Event{c.ev}, now.Add(4*time.Second); got == eventloop.NoReply && now.Before(end); now = now.Add(150 * time.Millisecond) {
-				for events = append(events, eventloop.Tick{}); len(events) > 0; events = events[1:] {
-					for _, e := range core.Step(now, events[0]) {
-						switch e := e.(type) {
-						case eventloop.StateTxn:
-							if len(e.Txn.Then) == 0 {
-								events = append(events, eventloop.Completion{ID: e.ID, FromStateService: true, Outcome: outcome})
+		t.Run(name, func(t *testing.T) {
+			for what, want := range map[string]eventloop.ReplyCode{"says so": c.want, "does not answer": eventloop.ReplyUnavailable, "says so just after a standstill": eventloop.ReplyUnavailable} {
+				outcome := eventloop.Succeeded
+				if what == "does not answer" {
+					outcome = eventloop.NoAnswer
+				}
+				core, now := newCore(t, teams, wire.LeaseRecord{Term: 3, Leader: "n1", Blocks: map[string]wire.Block{"n0": {Grant: 1 << 18, Incarnation: 7}}})
+				if what == "says so just after a standstill" {
+					core.resumedAt = now // the state may have lost the job meanwhile
+				}
+				got := eventloop.NoReply
+				// Without an answer it is asked again until its user waits no longer.
+				for events, end := []eventloop.Event{c.ev}, now.Add(4*time.Second); got == eventloop.NoReply && now.Before(end); now = now.Add(150 * time.Millisecond) {
+					for events = append(events, eventloop.Tick{}); len(events) > 0; events = events[1:] {
+						for _, e := range core.Step(now, events[0]) {
+							switch e := e.(type) {
+							case eventloop.StateTxn:
+								if len(e.Txn.Then) == 0 {
+									events = append(events, eventloop.Completion{ID: e.ID, FromStateService: true, Outcome: outcome})
+								}
+							case eventloop.Reply:
+								got = e.Code
 							}
-						case eventloop.Reply:
-							got = e.Code
 						}
 					}
 				}
+				if got != want {
+					t.Errorf("%s, the state service %s: answered %s, want %s", name, what, got, want)
+				}
 			}
-			if got != want {
-				t.Errorf("%s, the state service %s: answered %s, want %s", name, what, got, want)
+		})
+	}
+}
+
+// TestRefusalsNameTheReason holds the refusals to what users are answered: a code and a
+// text, which clients may show or compare.
+func TestRefusalsNameTheReason(t *testing.T) {
+	teams := []config.Team{{Name: "free"}, {Name: "red", CPUsMax: 8}}
+	fits := wire.Job{ID: "wk-000001", Team: "red", Shape: wire.Daemon, Priority: "standard", Tasks: 4, CPUs: 2}
+	for name, c := range map[string]struct {
+		change func(e *eventloop.SubmitRequest)
+		want   *SubmissionError // nil: the job can run
+		text   string
+	}{
+		"fits":            {func(*eventloop.SubmitRequest) {}, nil, ""},
+		"malformed":       {func(e *eventloop.SubmitRequest) { e.Err = io.ErrUnexpectedEOF }, &SubmissionError{Code: eventloop.ReplyInvalid}, "unexpected EOF"},
+		"unknown team":    {func(e *eventloop.SubmitRequest) { e.Job.Team = "blue" }, &SubmissionError{Code: eventloop.ReplyUnprocessable, Field: "team"}, "unknown team"},
+		"fits no machine": {func(e *eventloop.SubmitRequest) { e.Job.MemoryGB = 17 }, &SubmissionError{Code: eventloop.ReplyUnprocessable}, "a task fits no allowed machine type"},
+		"over the limit":  {func(e *eventloop.SubmitRequest) { e.Job.Tasks = 5 }, &SubmissionError{Code: eventloop.ReplyUnprocessable}, "more than the team's limit"},
+	} {
+		t.Run(name, func(t *testing.T) {
+			core, _ := newCore(t, teams, wire.LeaseRecord{Term: 3, Leader: "n1"})
+			e := eventloop.SubmitRequest{Req: 1, Job: fits}
+			c.change(&e)
+			err := core.checkSubmission(&e)
+			if c.want == nil {
+				if err != nil {
+					t.Fatalf("refused: %v", err)
+				}
+				return
 			}
-		}
+			var got *SubmissionError
+			if !errors.As(err, &got) || got.Code != c.want.Code || got.Field != c.want.Field || got.Reason != c.text || err.Error() != c.text {
+				t.Errorf("refused with %#v, want %s, field %q, %q", err, c.want.Code, c.want.Field, c.text)
+			}
+		})
+	}
+}
+
+// TestOpenRefusalsAreNotFinal: where it cannot be decided yet whether a job can run, or
+// the job is known already, no error may end its user's attempts.
+func TestOpenRefusalsAreNotFinal(t *testing.T) {
+	core, _ := newCore(t, []config.Team{{Name: "free"}}, wire.LeaseRecord{Term: 3, Leader: "n1"})
+	e := eventloop.SubmitRequest{Req: 1, Job: wire.Job{ID: "wk-000001", Team: "free", Shape: wire.Array, Priority: "standard", Tasks: 1, CPUs: 1}}
+	core.ended.add(e.Job.ID, wire.EndRecord{State: wire.Done})
+	if err := core.checkSubmission(&e); !errors.Is(err, errAlreadyKnown) {
+		t.Errorf("a job that has ended: %v", err)
+	}
+	clear(core.view.MachineTypes)
+	if err := core.checkSubmission(&e); !errors.Is(err, errMachineTypesUnknown) {
+		t.Errorf("without machine types: %v", err)
 	}
 }
