--- a/internal/core/controller/bench_test.go
+++ b/internal/core/controller/bench_test.go
@@ -20,8 +20,8 @@
 // grow by no more than a factor of 1.3 from the first to the last.
 var sizes = []int{1000, 4000, 10000}
 
-// largeFleet returns a leader whose fleet of n machines is parted over five
-// controllers; its own fifth is heard and half full.
+// largeFleet returns a leader whose fleet of n machines is divided among five controllers;
+// its own fifth is reconciled and half full.
 func largeFleet(b testing.TB, n int) (*Core, time.Time) {
 	b.Helper()
 	s := &config.Settings{HostName: "n0", Area: "x",
@@ -134,7 +134,7 @@
 	})
 }
 
-// BenchmarkApply takes in a lease value in which one block has changed.
+// BenchmarkApply applies a lease value in which one block has changed.
 func BenchmarkApply(b *testing.B) {
 	atSizes(b, func(b *testing.B, c *Core, _ time.Time, _ int) {
 		for version := uint64(1000); b.Loop(); version++ {
--- a/internal/core/controller/freshness_test.go
+++ b/internal/core/controller/freshness_test.go
@@ -10,7 +10,7 @@
 	"fawncove/internal/wire"
 )
 
-// asked plays a core against a state service that a test speaks for.
+// lookupHarness plays a core against a state service whose answers the test gives.
 type lookupHarness struct {
 	*Core
 	now     time.Time
@@ -23,8 +23,8 @@
 	return &lookupHarness{c, now, map[uint64]eventloop.Reply{}}
 }
 
-// step hands over an event and returns the transactions and reads that it brings
-// about for jobs and their ends.
+// step hands over an event and returns the transactions and reads of jobs and their ends
+// that follow from it.
 func (a *lookupHarness) step(ev eventloop.Event) (txns []eventloop.StateTxn, gets []eventloop.StateGet) {
 	for _, e := range a.Step(a.now, ev) {
 		switch e := e.(type) {
@@ -43,8 +43,8 @@
 	return txns, gets
 }
 
-// TestLostFreshnessCheckDelaysNobody: the answer to a check is lost. Who asks after it has
-// gone out is answered by a check of its own, and who waited for it is asked for again
+// TestLostFreshnessCheckDelaysNobody: the answer to a check is lost. Lookups that come in
+// after it has gone out get a check of their own, and those that waited for it go out again
 // as soon as it counts as lost.
 func TestLostFreshnessCheckDelaysNobody(t *testing.T) {
 	a := newLookupHarness(t)
@@ -72,8 +72,8 @@
 	}
 }
 
-// TestConflictOfAnotherJobIsRetriedAlone: a check fails by one job of several. Those about others
-// are asked again by themselves: among what was asked since, they would fail by that.
+// TestConflictOfAnotherJobIsRetriedAlone: a check fails by one job of several. The lookups of
+// the others go out again by themselves: among newer ones, they would fail by those.
 func TestConflictOfAnotherJobIsRetriedAlone(t *testing.T) {
 	a := newLookupHarness(t)
 	a.freshness.nextCheckAt = a.now.Add(a.freshnessInterval()) // so that both go out together
@@ -93,7 +93,7 @@
 	}
 	for _, c := range again[0].Txn.If {
 		if c.Key == jobPrefix+"wk-000003" {
-			t.Error("what was asked since goes into the same check")
+			t.Error("a newer lookup goes into the same check")
 		}
 	}
 	a.step(eventloop.Completion{ID: again[0].ID, FromStateService: true, Outcome: eventloop.Succeeded})
@@ -102,8 +102,8 @@
 	}
 }
 
-// TestLostAnswerToAUser: the transaction that stores a job, or cancels one, is carried
-// out and its answer lost. What is there is read at once, and tells the user.
+// TestLostAnswerToAUser: the transaction that stores a job, or cancels one, is executed and
+// its answer lost. What is stored is read at once, and the user is answered by that.
 func TestLostAnswerToAUser(t *testing.T) {
 	rec := wire.JobRecord{Job: wire.Job{ID: "wk-000001", Team: "free", Shape: wire.Array, Priority: "standard", Tasks: 2, CPUs: 2}, Owner: "n0"}
 	read := func(a *lookupHarness, g eventloop.StateGet, v any) (gets []eventloop.StateGet) {
@@ -159,7 +159,7 @@
 	}
 }
 
-// TestOneReadServesAllLookups: many ask about a job that has come since. One reading
+// TestOneReadServesAllLookups: many users look up a job that was stored since. One reading
 // answers them all; one for each would use up the request limit when it counts.
 func TestOneReadServesAllLookups(t *testing.T) {
 	a := newLookupHarness(t)
--- a/internal/core/controller/generation.go
+++ b/internal/core/controller/generation.go
@@ -42,9 +42,9 @@
 	if c.state.loaded() && c.recovery == nil {
 		switch {
 		case g.Generation > c.generation():
-			c.startRecovery("it was rebuilt without this controller", c.loop.Watermark(), version)
+			c.startRecovery(stateLoss{reason: lossRecovered, revisionSeen: c.loop.Watermark(), revisionFound: version})
 		case g.Rebuilding:
-			c.startRecovery("it is being rebuilt", c.loop.Watermark(), version)
+			c.startRecovery(stateLoss{reason: lossMarked, revisionSeen: c.loop.Watermark(), revisionFound: version})
 		}
 	}
 	if c.recovery == nil { // during a recovery the one that lost data is compared with
@@ -89,9 +89,9 @@
 	switch {
 	case c.recovery != nil || !c.state.loaded() || p.Generation == 0:
 	case p.StateLost && p.Generation == c.generation():
-		c.startRecovery("another controller says so", c.loop.Watermark(), 0)
+		c.startRecovery(stateLoss{reason: lossPeer, revisionSeen: c.loop.Watermark()})
 	case !p.StateLost && p.Generation > c.generation():
-		c.startRecovery("it was rebuilt without this controller", c.loop.Watermark(), 0)
+		c.startRecovery(stateLoss{reason: lossRecovered, revisionSeen: c.loop.Watermark()})
 	}
 }
 
--- a/internal/core/controller/lease_read.go
+++ b/internal/core/controller/lease_read.go
@@ -153,7 +153,7 @@
 		// Every write of the value makes it newer. Where just the last revision is lost,
 		// the next one has the same number and shows nothing; no write of the value
 		// would ever find the version that it is based on.
-		c.startRecovery("the lease value went back", known, d.Pair.Version)
+		c.startRecovery(stateLoss{reason: lossLease, revisionSeen: known, revisionFound: d.Pair.Version})
 		r.finish(eventloop.NoAnswer)
 		return
 	}
--- a/internal/core/controller/loss.go
+++ b/internal/core/controller/loss.go
@@ -6,6 +6,26 @@
 	"fawncove/internal/core/eventloop"
 )
 
+// lossReason is what shows that the state has lost data, as it is logged.
+type lossReason string
+
+const (
+	lossRevision  lossReason = "its revisions went back"
+	lossLease     lossReason = "the lease value went back"
+	lossJob       lossReason = "a job's record is gone"
+	lossPeer      lossReason = "another controller found it"
+	lossRecovered lossReason = "it was recovered without this controller"
+	lossMarked    lossReason = "it is being recovered"
+)
+
+// stateLoss is a loss of data that this controller has noticed.
+type stateLoss struct {
+	reason        lossReason
+	job           string // whose record is gone, for lossJob
+	revisionSeen  uint64 // the highest of before
+	revisionFound uint64 // instead; 0 if none was seen
+}
+
 // checkRevision looks for a loss of data in the revision of an answer. The state
 // service is consistent, so no answer is older than any that had been given when its
 // request went out: unless data was lost. An outage, a refusal and a slow or late
@@ -24,7 +44,7 @@
 			c.startup.staleAnswerAt = c.loop.Now
 			c.loop.ResetWatermark()
 		}
-		c.startRecovery("its revisions went back", expected, revision)
+		c.startRecovery(stateLoss{reason: lossRevision, revisionSeen: expected, revisionFound: revision})
 		return
 	}
 	c.loop.RaiseWatermark(revision)
@@ -32,7 +52,7 @@
 
 // startRecovery notes that the state has lost data and starts to recover it, or starts
 // over when it has lost data once more meanwhile.
-func (c *Core) startRecovery(reason string, seen, found uint64) {
+func (c *Core) startRecovery(loss stateLoss) {
 	if c.recovery != nil {
 		c.recovery.lostAgain(c.loop.Now)
 		c.loop.ResetWatermark()
@@ -41,9 +61,9 @@
 	if !c.canRecover() {
 		return
 	}
-	c.log.Error("the state has lost data", "reason", reason, "revision_seen", seen, "revision_found", found, "generation", c.generation(),
-		"jobs", len(c.owner.Jobs()), "ends", len(c.ended.records))
-	c.recovery = &recoveryRun{generation: c.generation(), revisionSeen: seen, revisionFound: found, startedAt: c.loop.Now}
+	c.log.Error("the state has lost data", "reason", loss.reason, "job", loss.job, "revision_seen", loss.revisionSeen, "revision_found", loss.revisionFound,
+		"generation", c.generation(), "jobs", len(c.owner.Jobs()), "ends", len(c.ended.records))
+	c.recovery = &recoveryRun{generation: c.generation(), revisionSeen: loss.revisionSeen, revisionFound: loss.revisionFound, startedAt: c.loop.Now}
 	c.loop.ResetWatermark()
 	c.stepDown()
 	c.freshness.failQueued()
--- a/internal/core/controller/refresh.go
+++ b/internal/core/controller/refresh.go
@@ -53,7 +53,7 @@
 	j := c.owner.Job(id)
 	c.readKey(endPrefix+id, func() {
 		if known && j != nil && !j.Ended && !j.EndInFlight {
-			c.startRecovery("a job is gone from it: "+id, c.loop.Watermark(), 0)
+			c.startRecovery(stateLoss{reason: lossJob, job: id, revisionSeen: c.loop.Watermark()})
 		}
 		done(false)
 	}, done)
