--- a/cmd/fawncove/serve.go
+++ b/cmd/fawncove/serve.go
@@ -43,9 +43,9 @@
 			if err != nil {
 				return err
 			}
-			par := cluster.Defaults()
-			par.Version, par.RaiseLevelAfter = buildVersion(), raiseAfter
-			return serve(cmd.Context(), s, par, log)
+			params := cluster.Defaults()
+			params.Version, params.RaiseLevelAfter = buildVersion(), raiseAfter
+			return serve(cmd.Context(), s, params, log)
 		},
 	}
 	configFlag(cmd, &path)
@@ -54,7 +54,7 @@
 	return cmd
 }
 
-// textLog logs to standard error at the level that LOG_LEVEL says.
+// textLog returns a logger to standard error at the level of LOG_LEVEL.
 func textLog() (*slog.Logger, error) {
 	level, err := logLevel(os.Getenv("LOG_LEVEL"))
 	if err != nil {
@@ -63,7 +63,7 @@
 	return slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level})), nil
 }
 
-// logLevel reads LOG_LEVEL.
+// logLevel parses the value of LOG_LEVEL.
 func logLevel(name string) (slog.Level, error) {
 	switch name {
 	case "", "info":
@@ -76,78 +76,97 @@
 	return 0, fmt.Errorf("LOG_LEVEL: %q is none of error, info, debug", name)
 }
 
-func serve(ctx context.Context, s *config.Settings, par cluster.Params, logger *slog.Logger) error {
+// serve runs a controller until ctx ends or the process is interrupted.
+func serve(ctx context.Context, settings *config.Settings, params cluster.Params, logger *slog.Logger) error {
 	if ctx == nil {
 		ctx = context.Background()
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	fitMachine(s.Cluster.Limits)
+	fitMachine(settings.Cluster.Limits)
 
-	clients, err := net.Listen("tcp", s.ClientListen)
+	clients, err := net.Listen("tcp", settings.ClientListen)
 	if err != nil {
 		return fmt.Errorf("client_listen: %w", err)
 	}
-	peers, err := net.Listen("tcp", s.ClusterListen)
+	peers, err := net.Listen("tcp", settings.ClusterListen)
 	if err != nil {
 		return fmt.Errorf("cluster_listen: %w", err)
 	}
-	links := map[string]*peer.Link{}
-	for _, p := range s.Peers {
-		links[p.HostName] = peer.Dial(ctx, p.Endpoint)
-	}
-	core := controller.New(s, par, logger, uint64(time.Now().UnixMilli()))
-	n := node.New(core, logger,
-		statestore.New(s.External.State, s.Cluster.State.RPS, s.Cluster.State.WriteRPS, s.Controllers()),
-		cloud.New(s.External.Cloud, s.Cluster.Cloud.RPS, 0.8), links, s.Cluster.Limits.Sockets)
+	n := newNode(ctx, settings, params, logger)
 	go n.Run(ctx)
 	go peer.Serve(ctx, peers, logger, n.Peer)
 
-	server := &http.Server{
-		Handler:           httpapi.New(n),
-		ReadHeaderTimeout: 5 * time.Second,
-		ReadTimeout:       10 * time.Second,
-		WriteTimeout:      15 * time.Second,
-		IdleTimeout:       3 * time.Minute,
-		MaxHeaderBytes:    8 << 10,
-		ConnState:         n.Sockets().Track,
-		ErrorLog:          log.New(io.Discard, "", 0),
-	}
-	ended := make(chan struct{})
+	server := newServer(n)
+	departed := make(chan struct{})
 	go func() {
-		defer close(ended)
+		defer close(departed)
 		stop, done := interrupted(ctx)
 		defer done()
 		<-stop.Done()
 		depart(n, server, logger)
 	}()
-	logger.Info("serving", "node", s.HostName, "area", s.Area, "clients", s.ClientListen)
+	// The service report finds the start of a process by this line.
+	logger.Info("serving", "node", settings.HostName, "area", settings.Area, "clients", settings.ClientListen)
 	if err := server.Serve(clients); !errors.Is(err, http.ErrServerClosed) {
 		return fmt.Errorf("serve: %w", err)
 	}
-	<-ended
+	<-departed
 	return nil
 }
 
+// cloudShare is the part of the cloud's request limit that the controllers use: only the
+// leader calls it, but two may take themselves for the leader for a moment.
+const cloudShare = 0.8
+
+// newNode returns the node of a controller, with clients for the services and links to the
+// other controllers.
+func newNode(ctx context.Context, settings *config.Settings, params cluster.Params, logger *slog.Logger) *node.Node {
+	links := map[string]*peer.Link{}
+	for _, p := range settings.Peers {
+		links[p.HostName] = peer.Dial(ctx, p.Endpoint)
+	}
+	state := settings.Cluster.State
+	core := controller.New(settings, params, logger, uint64(time.Now().UnixMilli()))
+	return node.New(core, logger,
+		statestore.New(settings.External.State, state.RPS, state.WriteRPS, settings.Controllers()),
+		cloud.New(settings.External.Cloud, settings.Cluster.Cloud.RPS, cloudShare),
+		links, settings.Cluster.Limits.Sockets)
+}
+
+// newServer returns the server for users, workers and health checks.
+func newServer(n *node.Node) *http.Server {
+	return &http.Server{
+		Handler:           httpapi.New(n),
+		ReadHeaderTimeout: 5 * time.Second,
+		ReadTimeout:       10 * time.Second,
+		WriteTimeout:      15 * time.Second,
+		IdleTimeout:       3 * time.Minute,
+		MaxHeaderBytes:    8 << 10,
+		ConnState:         n.Sockets().Track,
+		ErrorLog:          log.New(io.Discard, "", 0),
+	}
+}
+
 const (
-	// leaveWithin bounds how long a controller that is told to end hands over
-	// what it holds. Others have it after a fraction of a second, or after a few
-	// if it led; what they have not by then they take when its lease lapses.
-	leaveWithin = 8 * time.Second
-	// answerWithin bounds how long it then answers what it has been asked.
-	answerWithin = 4 * time.Second
+	// handoverTimeout bounds how long a controller that is told to end hands over what it
+	// holds. Others have it after a fraction of a second, or after a few seconds if it
+	// led; what they do not have then they take when its lease lapses.
+	handoverTimeout = 8 * time.Second
+	// drainTimeout bounds how long it then answers requests in flight.
+	drainTimeout = 4 * time.Second
 )
 
-// depart ends a controller: it hands over what it holds, while the load balancer
-// finds it unhealthy and users that still come are answered, then takes no more
-// connections and answers what is left.
+// depart ends a controller: it hands over what it holds, while the load balancer finds it
+// unhealthy and users that still come are answered, then accepts no more connections and
+// answers the requests in flight.
 func depart(n *node.Node, server *http.Server, logger *slog.Logger) {
-	ctx, cancel := context.WithTimeout(context.Background(), leaveWithin)
+	ctx, cancel := context.WithTimeout(context.Background(), handoverTimeout)
 	defer cancel()
 	if err := n.Leave(ctx); err != nil {
 		logger.Warn("not all was handed over", "err", err)
 	}
-	ctx, cancel = context.WithTimeout(context.Background(), answerWithin)
+	ctx, cancel = context.WithTimeout(context.Background(), drainTimeout)
 	defer cancel()
 	if err := server.Shutdown(ctx); err != nil {
 		logger.Warn("some requests were not answered", "err", err)
@@ -155,15 +174,19 @@
 	logger.Info("ended")
 }
 
-// fitMachine keeps the program within a small machine: as many threads at
-// work as there are cores, and a garbage collector that works harder near the
-// memory limit instead of passing it.
-func fitMachine(l config.Limits) {
-	if l.Cores > 0 {
-		runtime.GOMAXPROCS(max(1, int(math.Ceil(l.Cores))))
+// gcPercent is the growth of the heap, in percent, between two garbage collections far from
+// the memory limit.
+const gcPercent = 200
+
+// fitMachine keeps the program within a small machine: as many threads at work as there are
+// cores, and a garbage collector that works harder near the memory limit instead of passing
+// it.
+func fitMachine(limits config.Limits) {
+	if limits.Cores > 0 {
+		runtime.GOMAXPROCS(max(1, int(math.Ceil(limits.Cores))))
 	}
-	if l.RAMMB > 0 {
-		debug.SetMemoryLimit(int64(l.RAMMB * config.RAMPart * (1 << 20)))
+	if limits.RAMMB > 0 {
+		debug.SetMemoryLimit(int64(limits.RAMMB * config.RAMPart * (1 << 20)))
 	}
-	debug.SetGCPercent(200)
+	debug.SetGCPercent(gcPercent)
 }
