--- a/cmd/fawncove/check.go
+++ b/cmd/fawncove/check.go
@@ -39,7 +39,7 @@
 // printLimits prints the largest fleet that each limit of the settings allows, and a
 // warning when the tightest is too small for what the teams may use.
 func printLimits(out, warn io.Writer, path string, s *config.Settings) error {
-	budgets := s.Budgets()
+	budgets := s.FleetLimits()
 	if _, err := fmt.Fprintf(out, "%s: ok, controller %s with %d peers, a fleet of up to about %d machines\n",
 		path, s.HostName, len(s.Peers), budgets[0].Machines); err != nil {
 		return err
@@ -49,7 +49,7 @@
 		if i == 0 {
 			note = " (the tightest)"
 		}
-		if _, err := fmt.Fprintf(out, "  %-28s %-26s %7d machines%s\n", b.Name, b.Field, b.Machines, note); err != nil {
+		if _, err := fmt.Fprintf(out, "  %-28s %-26s %7d machines%s\n", b.Resource, b.Setting, b.Machines, note); err != nil {
 			return err
 		}
 	}
@@ -58,7 +58,7 @@
 		limits += max(t.CPUs, t.CPUsMax)
 	}
 	if tightest := budgets[0]; tightest.Machines < minUsefulFleet || limits > cpusPerMachine*float64(tightest.Machines) {
-		_, err := fmt.Fprintf(warn, "%s: warning: %s: %s for only about %d machines; the fleet will stop growing there\n", path, tightest.Field, tightest.Name, tightest.Machines)
+		_, err := fmt.Fprintf(warn, "%s: warning: %s: %s for only about %d machines; the fleet will stop growing there\n", path, tightest.Setting, tightest.Resource, tightest.Machines)
 		return err
 	}
 	return nil
--- a/cmd/fawncove/serve.go
+++ b/cmd/fawncove/serve.go
@@ -186,7 +186,7 @@
 		runtime.GOMAXPROCS(max(1, int(math.Ceil(limits.Cores))))
 	}
 	if limits.RAMMB > 0 {
-		debug.SetMemoryLimit(int64(limits.RAMMB * config.RAMPart * (1 << 20)))
+		debug.SetMemoryLimit(int64(limits.RAMMB * config.GCMemoryShare * (1 << 20)))
 	}
 	debug.SetGCPercent(gcPercent)
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -101,14 +101,16 @@
 	return time.Duration(s * float64(time.Second))
 }
 
-// ListEvery returns how often the leader reads the cloud's machine list, when that takes
+// InventoryInterval returns how often the leader reads the cloud's machine list, when that takes
 // few pages.
-func (s *Settings) ListEvery() time.Duration {
+func (s *Settings) InventoryInterval() time.Duration {
 	return max(2*time.Second, Seconds(s.Cluster.Cloud.ListLagS)/2)
 }
 
-// ListPause returns the time from one page of the machine list to the next.
-func (s *Settings) ListPause() time.Duration { return Seconds(1 / (listPart * s.Cluster.Cloud.RPS)) }
+// InventoryPageInterval returns the time from one page of the machine list to the next.
+func (s *Settings) InventoryPageInterval() time.Duration {
+	return Seconds(1 / (inventoryRequestShare * s.Cluster.Cloud.RPS))
+}
 
 // Load reads and checks the file at path.
 func Load(path string) (*Settings, error) {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -89,7 +89,7 @@
 		least, most int
 	}{{4, 5, 609, 1200}, {8, 5, 1467, 2400}, {1, 5, 0, 0}} {
 		s := Settings{Cluster: Cluster{InitialSize: c.controllers, State: State{ValueKB: c.kb}}}
-		if got := s.FleetRoom(); got < c.least || got > c.most {
+		if got := s.LeaseCapacity(); got < c.least || got > c.most {
 			t.Errorf("%v KiB, %d controllers: room for %d machines, want %d to %d", c.kb, c.controllers, got, c.least, c.most)
 		}
 	}
@@ -109,12 +109,12 @@
 	of := func() map[string]int {
 		out := map[string]int{}
 		last := 0
-		for _, b := range s.Budgets() {
+		for _, b := range s.FleetLimits() {
 			if b.Machines < last {
-				t.Errorf("%s allows %d machines and comes after %d", b.Name, b.Machines, last)
+				t.Errorf("%s allows %d machines and comes after %d", b.Resource, b.Machines, last)
 			}
 			last = b.Machines
-			out[b.Field] = b.Machines
+			out[b.Setting] = b.Machines
 		}
 		return out
 	}
@@ -168,17 +168,17 @@
 		t.Run(c.name, func(t *testing.T) {
 			s := Settings{Cluster: Cluster{InitialSize: c.controllers, Limits: c.limits, State: c.state, Cloud: c.cloud,
 				Workers: Workers{ReportS: c.reportS}, Teams: make([]Team, c.teams)}}
-			for _, b := range s.Budgets() {
-				least, known := c.below[b.Field]
+			for _, b := range s.FleetLimits() {
+				least, known := c.below[b.Setting]
 				if known && b.Machines >= wanted {
-					t.Errorf("%s allows %d machines and is listed as below %d", b.Name, b.Machines, wanted)
+					t.Errorf("%s allows %d machines and is listed as below %d", b.Resource, b.Machines, wanted)
 				}
 				if !known {
 					least = wanted
 				}
 				// A machine less may be the rounding of a product.
 				if b.Machines < least-1 {
-					t.Errorf("%s allows %d machines, want %d", b.Name, b.Machines, least)
+					t.Errorf("%s allows %d machines, want %d", b.Resource, b.Machines, least)
 				}
 			}
 		})
--- a/internal/core/leader/fleetlimit.go
+++ b/internal/core/leader/fleetlimit.go
@@ -12,7 +12,7 @@
 // ten thousand machines, so what counts there is how full the value itself is.
 func (l *Leader) mayGrow() bool {
 	for _, limit := range l.fleetLimits {
-		if limit.Machines > 0 && !l.belowLimit(limit.Name, float64(len(l.autoscaler.instances)), float64(limit.Machines)) {
+		if limit.Machines > 0 && !l.belowLimit(limit.Resource, float64(len(l.autoscaler.instances)), float64(limit.Machines)) {
 			return false
 		}
 	}
--- a/internal/core/leader/inventory.go
+++ b/internal/core/leader/inventory.go
@@ -44,7 +44,7 @@
 	if scan.cursor == "" {
 		scan.roundStarted = l.loop.Now
 	}
-	pause := l.view.Settings.ListPause()
+	pause := l.view.Settings.InventoryPageInterval()
 	if !scan.complete {
 		pause /= 2
 	}
@@ -79,7 +79,7 @@
 		return
 	}
 	scan.cursor, scan.complete = "", true
-	if next := scan.roundStarted.Add(l.view.Settings.ListEvery()); next.After(scan.nextPage) {
+	if next := scan.roundStarted.Add(l.view.Settings.InventoryInterval()); next.After(scan.nextPage) {
 		scan.nextPage = next
 	}
 	l.local.UpdateMachineInfo(l.MachineInfo)
--- a/internal/core/leader/leader.go
+++ b/internal/core/leader/leader.go
@@ -62,7 +62,7 @@
 	incarnation uint64 // of this controller's process
 	// fleetLimits are the limits of the settings on the size of the fleet, but for the
 	// lease value, whose size is known.
-	fleetLimits []config.Budget
+	fleetLimits []config.FleetLimit
 
 	term      uint64
 	startedAt time.Time
@@ -109,8 +109,8 @@
 		draining:        map[string]bool{},
 		drainedIdle:     map[string]time.Time{},
 		reassignTo:      map[string]string{}}
-	for _, limit := range view.Settings.Budgets() {
-		if limit.Field != "cluster.state.value_kb" {
+	for _, limit := range view.Settings.FleetLimits() {
+		if limit.Setting != "cluster.state.value_kb" {
 			l.fleetLimits = append(l.fleetLimits, limit)
 		}
 	}
--- a/internal/core/leader/leader_test.go
+++ b/internal/core/leader/leader_test.go
@@ -157,7 +157,7 @@
 		Blocks: map[string]wire.Block{"n0": {Grant: 3 << 16, Incarnation: 7}}})
 	var log countingHandler
 	l.log = slog.New(&log)
-	l.fleetLimits = []config.Budget{{Name: "sockets", Field: "cluster.limits.sockets", Machines: 100}}
+	l.fleetLimits = []config.FleetLimit{{Resource: "sockets", Setting: "cluster.limits.sockets", Machines: 100}}
 	machines := l.autoscaler.instances
 	fill := func(n int) {
 		clear(machines)
--- a/internal/core/leader/partitions.go
+++ b/internal/core/leader/partitions.go
@@ -73,7 +73,7 @@
 	if cores <= 0 {
 		cores = 1
 	}
-	return max(minMachinesPerOwner, int(config.ReportsPerCore*cores*l.view.Settings.Cluster.Workers.ReportS))
+	return max(minMachinesPerOwner, int(config.HeartbeatsPerCore*cores*l.view.Settings.Cluster.Workers.ReportS))
 }
 
 // choosePartitionOwner returns the new owner of a partition that a controller offers to
