--- a/internal/core/leasevalue/read.go
+++ b/internal/core/leasevalue/read.go
@@ -95,7 +95,7 @@
 	for team, owners := range h.Shards {
 		for i, owner := range owners {
 			if owner < 0 || owner >= len(nodes) {
-				return fmt.Errorf("lease value: part %d of %q has no home", i+1, team)
+				return fmt.Errorf("lease value: shard %d of %q has no owner", i+1, team)
 			}
 			if rec.Partitions == nil {
 				rec.Partitions = map[string]string{}
--- a/internal/upgrade/upgrade.go
+++ b/internal/upgrade/upgrade.go
@@ -112,7 +112,7 @@
 	return p, nil
 }
 
-// BeforeLevels tells whether the controller's process is of a version from before
+// BeforeLevels reports whether the controller's process is of a version from before
 // levels: then it has stored nothing of itself, or an earlier process has.
 func (c *Controller) BeforeLevels() bool {
 	return c.LeaseIncarnation != 0 && c.Incarnation != c.LeaseIncarnation
