--- a/internal/core/cluster/cluster.go
+++ b/internal/core/cluster/cluster.go
@@ -69,8 +69,17 @@
 
 // Defaults returns the parameters that a controller starts with.
 func Defaults() Params {
-	return Params{LeaseDuration: 20 * time.Second, PublishInterval: 5 * time.Second, LookAheadThreshold: sched.K2, SinglePartitionBelow: 100, ShardLimitedAbove: 700, MoveJobAfter: 30 * time.Second,
-		Levels: feature.Current(), Version: "unknown", RaiseLevelAfter: DefaultRaiseLevelAfter}
+	return Params{
+		LeaseDuration:        20 * time.Second,
+		PublishInterval:      5 * time.Second,
+		LookAheadThreshold:   sched.K2,
+		SinglePartitionBelow: 100,
+		ShardLimitedAbove:    700,
+		MoveJobAfter:         30 * time.Second,
+		Levels:               feature.Current(),
+		Version:              "unknown",
+		RaiseLevelAfter:      DefaultRaiseLevelAfter,
+	}
 }
 
 // View is a controller's picture of the cluster.
