--- a/internal/core/blocklease/blocklease.go
+++ b/internal/core/blocklease/blocklease.go
@@ -1,12 +1,12 @@
 // Package blocklease is what a controller may do under its block lease, and until when.
 // It owns the lease's expiry, the numbers of renewals, tokens and attempts, and what
-// renewals have promised. It decides from the controller's own steady clock and from
-// what the lease value says; it knows neither machines nor messages, and never starts or
+// renewals have reserved or offered. It decides from the controller's own steady clock and
+// from what the lease value says; it knows neither machines nor messages, and never starts or
 // sends anything.
 //
 //   - A lease counts from the moment in which the renewal was sent that the value
-//     honours, not from when the value was seen, and for a little less than it lasts.
-//     Whoever takes the block over waits for a little more.
+//     acknowledges, not from when the value was read, and for a little less than it lasts.
+//     A successor waits for a little more.
 //   - Tokens and attempts are made of the grant, which rises with every holder and every
 //     process of a holder, so that none is ever used twice.
 //   - A process that has lost its block is a new one to everybody from then on.
@@ -33,7 +33,7 @@
 	attempts    uint64 // numbered under this grant
 
 	lastRenewal   uint64
-	sentAt        map[uint64]time.Time // when each renewal that is not yet honoured went out
+	sentAt        map[uint64]time.Time // when each renewal that is not acknowledged yet was sent
 	renewalUrgent bool
 
 	reservations quota.Reservations
@@ -90,21 +90,21 @@
 // NextRenewal returns the number that the renewal sent next will have.
 func (h *Holder) NextRenewal() uint64 { return h.lastRenewal + 1 }
 
-// RecordRenewal notes that a renewal goes out now, and returns its number.
+// RecordRenewal records that a renewal is sent now, and returns its number.
 func (h *Holder) RecordRenewal(now time.Time) uint64 {
 	h.lastRenewal++
 	h.sentAt[h.lastRenewal] = now
 	return h.lastRenewal
 }
 
-// RequestRenewal asks for a renewal to go out soon: there is something that the leader
+// RequestRenewal asks for a renewal to be sent soon: there is something that the leader
 // should know.
 func (h *Holder) RequestRenewal() { h.renewalUrgent = true }
 
-// RenewalUrgent reports whether a renewal should go out soon.
+// RenewalUrgent reports whether a renewal should be sent soon.
 func (h *Holder) RenewalUrgent() bool { return h.renewalUrgent }
 
-// RenewalSent notes that one goes out now.
+// RenewalSent records that one is sent now.
 func (h *Holder) RenewalSent() { h.renewalUrgent = false }
 
 // Renewed takes the block as a lease value shows it, which must be one of this
@@ -130,6 +130,7 @@
 	}
 }
 
+// forgetRenewalsBefore drops the times of renewals that are of no use any more.
 func (h *Holder) forgetRenewalsBefore(renewal uint64) {
 	for n := range h.sentAt {
 		if n < renewal {
@@ -138,7 +139,7 @@
 	}
 }
 
-// Release forgets the block and every right and promise that came with it.
+// Release drops the block and every right, reservation and offer that came with it.
 func (h *Holder) Release() {
 	h.grant, h.expiresAt = 0, time.Time{}
 	clear(h.sentAt)
@@ -146,26 +147,26 @@
 	h.handovers = nil
 }
 
-// Reserve notes that the renewal with this number promises to use no more of a team's
-// quota share than ceiling. The promise is kept from now on.
-func (h *Holder) Reserve(renewal uint64, team string, ceiling wire.Share) {
-	h.reservations.Reserve(renewal, team, ceiling)
+// Reserve records that the renewal with this number reserves no more than an amount of a
+// team's quota share. UsableShare keeps to it from now on.
+func (h *Holder) Reserve(renewal uint64, team string, amount wire.Share) {
+	h.reservations.Reserve(renewal, team, amount)
 }
 
 // UsableShare returns what of a team's quota share in the lease value may be used: all of
-// it, or less if less was promised.
+// it, or less if less is reserved.
 func (h *Holder) UsableShare(team string, s wire.Share) wire.Share {
 	return h.reservations.Usable(team, s)
 }
 
-// OfferHandover notes that the renewal with this number offers to give up a partition.
+// OfferHandover records that the renewal with this number offers to give up a partition.
 // From now on nothing of it may be started.
 func (h *Holder) OfferHandover(renewal uint64, partition string) {
 	h.handovers = append(h.handovers, handover{renewal, partition})
 }
 
-// HandoverOffered reports whether a partition is on offer. It is until a value honours
-// the renewal: that value says whether the partition has moved.
+// HandoverOffered reports whether a partition is on offer. It is until a value
+// acknowledges the renewal: that value says whether the partition has moved.
 func (h *Holder) HandoverOffered(partition string) bool {
 	return slices.ContainsFunc(h.handovers, func(o handover) bool { return o.partition == partition })
 }
--- a/internal/core/controller/levels.go
+++ b/internal/core/controller/levels.go
@@ -15,11 +15,11 @@
 // request.
 
 const (
-	// LevelPrefix is where everything that concerns feature levels is stored: each
-	// controller's record below ControllerPrefix, the operator's request under
-	// OperatorRequestKey.
-	LevelPrefix        = root + "g/"
-	ControllerPrefix   = LevelPrefix + "n/"
+	// LevelPrefix is where everything that concerns feature levels is stored.
+	LevelPrefix = root + "g/"
+	// ControllerPrefix is where each controller's record is stored, under its name.
+	ControllerPrefix = LevelPrefix + "n/"
+	// OperatorRequestKey is where the operator's request is stored.
 	OperatorRequestKey = LevelPrefix + "word"
 
 	// levelPublishInterval spaces the checks whether this controller's record has to be
--- a/internal/core/controller/recovery_read.go
+++ b/internal/core/controller/recovery_read.go
@@ -107,7 +107,7 @@
 	r.state.completedPages[p.Key] = true
 	completed, err := r.core.owner.ParsePage(p.Key, p.Value)
 	if err != nil {
-		r.core.log.Error("page of completed tasks", "key", p.Key, "err", err)
+		r.core.log.Error("cannot decode page of completed tasks", "key", p.Key, "err", err)
 	}
 	tasks := r.state.records.CompletedTasks
 	for entry, raw := range completed {
--- a/internal/core/controller/submit.go
+++ b/internal/core/controller/submit.go
@@ -22,6 +22,7 @@
 	Reason string              // as the user reads it
 }
 
+// Error returns the reason, as the user reads it.
 func (e *SubmissionError) Error() string { return e.Reason }
 
 // errMachineTypesUnknown says that it cannot be decided yet whether a job fits.
--- a/internal/core/leader/fleetlimit.go
+++ b/internal/core/leader/fleetlimit.go
@@ -39,7 +39,7 @@
 		if reached {
 			a.reachedLimit = name
 		}
-		l.log.Warn("the fleet has reached a ceiling", "what", name, "reached", reached, "at", int(at), "ceiling", int(limit))
+		l.log.Warn("fleet limit", "resource", name, "reached", reached, "current", int(at), "limit", int(limit))
 	}
 	return !reached
 }
--- a/internal/core/leader/instances.go
+++ b/internal/core/leader/instances.go
@@ -53,8 +53,8 @@
 		}
 		a.noCapacityUntil[source] = l.loop.Now.Add(noCapacityBackoff)
 	}
-	l.log.Info("rented", "type", request.Type, "zone", request.Zone, "spot", request.Spot,
-		"asked", request.Count, "got", len(done.Names), "outcome", done.Outcome)
+	l.log.Info("instances created", "type", request.Type, "zone", request.Zone, "spot", request.Spot,
+		"requested", request.Count, "created", len(done.Names), "outcome", done.Outcome)
 	for _, name := range done.Names {
 		if a.instances[name] == nil {
 			a.instances[name] = &instance{market: source, requested: sent, lastListed: l.loop.Now}
@@ -81,7 +81,7 @@
 			delete(a.unreachable, name) // from here on it may be gone at any moment
 		}
 	}
-	l.log.Info("releasing", "machines", names)
+	l.log.Info("deleting instances", "machines", names)
 	l.loop.Emit(eventloop.CloudDelete{Names: names, ID: l.loop.Call(func(done eventloop.Completion) {
 		a.deleteInFlight = false
 		l.instancesDeleted(names, unreachable, done.Outcome)
--- a/internal/core/leader/inventory.go
+++ b/internal/core/leader/inventory.go
@@ -121,7 +121,7 @@
 	}
 	switch {
 	case !known.unleasedSince.IsZero() && l.loop.Now.Sub(known.unleasedSince) > l.maxUnleased():
-		l.log.Info("machine is up and joins no block", "machine", name)
+		l.log.Info("running machine joins no block", "machine", name)
 		a.deleting[name] = true
 	case machine.State == wire.MachineFailed:
 		a.deleting[name] = true
--- a/internal/core/leader/leaseform.go
+++ b/internal/core/leader/leaseform.go
@@ -38,7 +38,7 @@
 	}
 	if float64(l.inlineValueSize()) > pagedValuePart*1024*l.view.Settings.Cluster.State.ValueKB {
 		rec.Form = leasevalue.FormPages
-		l.log.Info("lease value is stored with pages from now on")
+		l.log.Info("lease value stored with pages from now on")
 	}
 }
 
--- a/internal/core/owner/block.go
+++ b/internal/core/owner/block.go
@@ -161,5 +161,5 @@
 		jobs++
 		j.clearOwnerState()
 	}
-	o.log.Info("home moved", "partition", partition, "controller", o.view.Lease.Partitions[partition], "jobs", jobs)
+	o.log.Info("partition handed over", "partition", partition, "controller", o.view.Lease.Partitions[partition], "jobs", jobs)
 }
--- a/internal/core/owner/completion_log.go
+++ b/internal/core/owner/completion_log.go
@@ -308,13 +308,13 @@
 	}
 	env, err := wire.Wrap(entries, o.view.Lease.Generation, 0)
 	if err != nil {
-		o.log.Error("page of completed tasks", "err", err)
+		o.log.Error("cannot encode page of completed tasks", "err", err)
 		return entries, 0
 	}
 	env.Unknown = p.unknownFields
 	stored, err := env.Stored()
 	if err != nil {
-		o.log.Error("page of completed tasks", "err", err)
+		o.log.Error("cannot encode page of completed tasks", "err", err)
 		return env, env.Form
 	}
 	return stored, env.Form
--- a/internal/core/owner/completion_read.go
+++ b/internal/core/owner/completion_read.go
@@ -93,14 +93,14 @@
 func (o *Owner) readPage(key string, value []byte) (wire.Envelope, map[string]string, error) {
 	env, entries, err := o.openPage(key, value)
 	if err != nil {
-		o.log.Error("page of completed tasks", "key", key, "err", err)
+		o.log.Error("cannot decode page of completed tasks", "key", key, "err", err)
 		return env, nil, err
 	}
 	for entry, text := range entries {
 		raw, err := base64.RawStdEncoding.DecodeString(text)
 		id, _, ok := splitEntry(entry)
 		if err != nil || !ok {
-			o.log.Error("page of completed tasks", "key", key, "entry", entry, "err", err)
+			o.log.Error("cannot decode page of completed tasks", "key", key, "entry", entry, "err", err)
 			delete(entries, entry)
 			continue
 		}
--- a/internal/core/owner/failure.go
+++ b/internal/core/owner/failure.go
@@ -63,7 +63,7 @@
 	if len(m.failedTasks) >= quarantineAfter && !m.quarantined {
 		m.quarantined = true
 		o.blockLease.RequestRenewal()
-		o.log.Info("machine set aside", "machine", m.name, "errors", len(m.failedTasks))
+		o.log.Info("machine quarantined", "machine", m.name, "errors", len(m.failedTasks))
 	}
 }
 
--- a/internal/core/owner/health.go
+++ b/internal/core/owner/health.go
@@ -147,7 +147,7 @@
 	if o.silence(m) > limit || reclaimed {
 		m.unreachable = true
 		o.blockLease.RequestRenewal()
-		o.log.Info("machine lost", "machine", m.name, "duration", o.silence(m))
+		o.log.Info("machine unreachable", "machine", m.name, "duration", o.silence(m))
 	}
 }
 
--- a/internal/core/owner/migration.go
+++ b/internal/core/owner/migration.go
@@ -192,7 +192,7 @@
 	}
 	value, form, err := o.movedRecord(&rec, info.FirstVersion)
 	if err != nil {
-		o.log.Error("record of a job that moves", "job", rec.ID, "err", err)
+		o.log.Error("cannot encode moved job record", "job", rec.ID, "err", err)
 		return
 	}
 	info.Form = form
--- a/internal/core/owner/record_upgrade.go
+++ b/internal/core/owner/record_upgrade.go
@@ -113,7 +113,7 @@
 	}
 	slices.Sort(u.queue)
 	if len(u.queue) > 0 {
-		o.log.Info("records to rewrite", "jobs", len(u.queue))
+		o.log.Info("outdated job records", "jobs", len(u.queue))
 	}
 }
 
@@ -135,7 +135,7 @@
 		}
 		value, size, err := o.envelopeOf(j)
 		if err != nil {
-			o.log.Error("record to rewrite", "job", j.Record.ID, "err", err)
+			o.log.Error("cannot encode outdated job record", "job", j.Record.ID, "err", err)
 			u.skip(j.Record.ID)
 			continue
 		}
@@ -173,7 +173,7 @@
 		case d.Outcome == eventloop.Rejected && len(batch.jobs) == 1:
 			id := batch.jobs[0].Record.ID
 			u.skip(id)
-			o.log.Info("record stays in its earlier form, its envelope does not fit", "job", id)
+			o.log.Info("envelope does not fit, job record stays in its earlier form", "job", id)
 		case d.Outcome == eventloop.Rejected:
 			u.singleSteps = len(batch.jobs) // to find which one
 		}
--- a/internal/core/owner/snapshot.go
+++ b/internal/core/owner/snapshot.go
@@ -25,7 +25,7 @@
 			rec, err = wire.Wrap(rec, o.view.Lease.Generation, 1)
 		}
 		if err != nil {
-			o.log.Error("job record", "job", id, "err", err)
+			o.log.Error("cannot encode job record", "job", id, "err", err)
 			continue
 		}
 		records[id] = rec
--- a/internal/edge/node/sockets.go
+++ b/internal/edge/node/sockets.go
@@ -40,6 +40,7 @@
 	closedIdle  int                        // idle connections that were closed so far
 }
 
+// idleConnection is a connection without a request under way.
 type idleConnection struct {
 	net.Conn
 	since time.Time
--- a/internal/testkit/simtest/world.go
+++ b/internal/testkit/simtest/world.go
@@ -351,7 +351,7 @@
 func (h moveCounter) Enabled(context.Context, slog.Level) bool { return true }
 
 func (h moveCounter) Handle(_ context.Context, r slog.Record) error {
-	if r.Message == "home moved" {
+	if r.Message == "partition handed over" {
 		h.w.moves++
 	}
 	return nil
