--- a/cmd/fawncove/serve.go
+++ b/cmd/fawncove/serve.go
@@ -16,6 +16,7 @@
 	"time"
 
 	"github.com/spf13/cobra"
+	"golang.org/x/sync/errgroup"
 
 	"fawncove/internal/config"
 	"fawncove/internal/core/cluster"
@@ -93,26 +94,38 @@
 	if err != nil {
 		return fmt.Errorf("cluster_listen: %w", err)
 	}
+	// All goroutines of the controller belong to this group; they end with its context,
+	// when one of them fails or the controller has departed.
+	group, ctx := errgroup.WithContext(ctx)
 	n := newNode(ctx, settings, params, logger)
-	go n.Run(ctx)
-	go peer.Serve(ctx, peers, logger, n.Peer)
-
 	server := newServer(n)
-	departed := make(chan struct{})
-	go func() {
-		defer close(departed)
+	group.Go(func() error {
+		n.Run(ctx)
+		return nil
+	})
+	group.Go(func() error {
+		peer.Serve(ctx, peers, logger, n.Peer)
+		return nil
+	})
+	group.Go(func() error {
+		if err := server.Serve(clients); !errors.Is(err, http.ErrServerClosed) {
+			return fmt.Errorf("serve: %w", err)
+		}
+		return nil
+	})
+	group.Go(func() error {
+		defer cancel()
 		stop, done := interrupted(ctx)
 		defer done()
 		<-stop.Done()
-		depart(n, server, logger)
-	}()
+		if ctx.Err() == nil { // told to end, not ended by a failure
+			depart(n, server, logger)
+		}
+		return nil
+	})
 	// The service report finds the start of a process by this line.
 	logger.Info("serving", "node", settings.HostName, "area", settings.Area, "clients", settings.ClientListen)
-	if err := server.Serve(clients); !errors.Is(err, http.ErrServerClosed) {
-		return fmt.Errorf("serve: %w", err)
-	}
-	<-departed
-	return nil
+	return group.Wait()
 }
 
 // cloudShare is the part of the cloud's request limit that the controllers use: only the
