--- a/internal/config/fleetlimit.go
+++ b/internal/config/fleetlimit.go
@@ -5,6 +5,7 @@
 	"slices"
 
 	"fawncove/internal/core/leasevalue"
+	"fawncove/internal/wire"
 )
 
 // FleetLimit is the largest fleet that one resource allows.
@@ -35,9 +36,7 @@
 	// GCMemoryShare is the part of the memory from which on the garbage collector works
 	// harder.
 	GCMemoryShare = 0.7
-	// inventoryPageSize is how many machines a page of the cloud's machine list holds, and
-	// inventoryRequestShare the part of the cloud's request limit that reading it may take.
-	inventoryPageSize     = 500
+	// inventoryRequestShare is the part of the cloud's request limit that reading it may take.
 	inventoryRequestShare = 0.25
 	// maxInventoryDelay is how long reading the whole list may take, in multiples of
 	// InventoryInterval: the list is that old anyway. What is learnt from it alone
@@ -68,7 +67,7 @@
 	if c.Limits.Cores > 0 {
 		add("processor time for reports", "cluster.limits.cores", n*HeartbeatsPerCore*c.Limits.Cores*c.Workers.ReportS)
 	}
-	add("reading the machine list", "cluster.cloud.rps", maxInventoryDelay*s.InventoryInterval().Seconds()/s.InventoryPageInterval().Seconds()*inventoryPageSize)
+	add("reading the machine list", "cluster.cloud.rps", maxInventoryDelay*s.InventoryInterval().Seconds()/s.InventoryPageInterval().Seconds()*wire.MaxInstancesPerPage)
 	slices.SortStableFunc(out, func(a, b FleetLimit) int { return cmp.Compare(a.Machines, b.Machines) })
 	return out
 }
--- a/internal/core/blocklease/blocklease.go
+++ b/internal/core/blocklease/blocklease.go
@@ -55,9 +55,9 @@
 // Incarnation tells this process from earlier ones of the same name.
 func (h *Holder) Incarnation() uint64 { return h.incarnation }
 
-// RaiseIncarnation makes the incarnation larger than another, which the lease value still
+// RaiseIncarnationAbove makes the incarnation larger than another, which the lease value still
 // names for an earlier process.
-func (h *Holder) RaiseIncarnation(other uint64) { h.incarnation = max(h.incarnation, other+1) }
+func (h *Holder) RaiseIncarnationAbove(other uint64) { h.incarnation = max(h.incarnation, other+1) }
 
 // Held reports whether there is a block.
 func (h *Holder) Held() bool { return h.grant != 0 }
@@ -104,8 +104,8 @@
 // RenewalUrgent reports whether a renewal should be sent soon.
 func (h *Holder) RenewalUrgent() bool { return h.renewalUrgent }
 
-// RenewalSent records that one is sent now.
-func (h *Holder) RenewalSent() { h.renewalUrgent = false }
+// ClearRenewalRequest records that one is sent now.
+func (h *Holder) ClearRenewalRequest() { h.renewalUrgent = false }
 
 // Renewed takes the block as a lease value shows it, which must be one of this
 // incarnation. It reports whether the grant is another one than before.
--- a/internal/core/blocklease/blocklease_test.go
+++ b/internal/core/blocklease/blocklease_test.go
@@ -69,7 +69,7 @@
 		t.Errorf("%d processors though 3 were reserved", got.CPUs)
 	}
 	h.Release()
-	h.RaiseIncarnation(h.Incarnation())
+	h.RaiseIncarnationAbove(h.Incarnation())
 	if h.Held() || h.MayStart(start) || h.Incarnation() != 8 {
 		t.Errorf("held %v, may start %v, incarnation %d", h.Held(), h.MayStart(start), h.Incarnation())
 	}
--- a/internal/core/cluster/levels.go
+++ b/internal/core/cluster/levels.go
@@ -30,9 +30,9 @@
 	var out []feature.Member
 	for _, name := range SortedKeys(v.Peers) {
 		p := v.Peers[name]
-		out = append(out, feature.Member{Name: name, Reachable: v.IsReachable(name, now), Process: p.Incarnation, SeenLevel: p.SeenLevel})
+		out = append(out, feature.Member{Name: name, Reachable: v.IsReachable(name, now), Incarnation: p.Incarnation, SeenLevel: p.SeenLevel})
 	}
-	out = append(out, feature.Member{Name: v.Self, Reachable: true, Process: incarnation, SeenLevel: v.Levels().Level})
+	out = append(out, feature.Member{Name: v.Self, Reachable: true, Incarnation: incarnation, SeenLevel: v.Levels().Level})
 	for i := range out {
 		m := &out[i]
 		rec := v.Controllers[m.Name].Value
--- a/internal/core/cluster/peer.go
+++ b/internal/core/cluster/peer.go
@@ -69,7 +69,7 @@
 type FreeSlot struct {
 	MachineType, Zone string
 	Spot              bool
-	OverdueOnly       bool // only for jobs that have waited for long
+	LongWaitOnly      bool // only for jobs that have waited for long
 	Free              sched.Resources
 }
 
@@ -77,7 +77,7 @@
 func (p *Peer) UpdateFreeSlots(slots []*peerpb.FreeSlot) {
 	p.FreeSlots = p.FreeSlots[:0]
 	for _, s := range slots {
-		p.FreeSlots = append(p.FreeSlots, FreeSlot{MachineType: s.GetType(), Zone: s.GetZone(), Spot: s.GetSpot(), OverdueOnly: s.GetOverdueOnly(),
+		p.FreeSlots = append(p.FreeSlots, FreeSlot{MachineType: s.GetType(), Zone: s.GetZone(), Spot: s.GetSpot(), LongWaitOnly: s.GetOverdueOnly(),
 			Free: sched.Resources{CPUs: s.GetCpus(), GPUs: s.GetGpus(), MemoryGB: s.GetMemoryGb()}})
 	}
 }
@@ -89,9 +89,9 @@
 	Images map[string]float64 // free on machines that have an image
 }
 
-// Reserve takes the processors of a job that goes there, until the controller publishes
+// Subtract takes the processors of a job that goes there, until the controller publishes
 // its new figures.
-func (c *Capacity) Reserve(j *wire.Job) {
+func (c *Capacity) Subtract(j *wire.Job) {
 	cpus := float64(j.Tasks) * j.CPUs
 	c.Free = max(0, c.Free-cpus)
 	if free, ok := c.Images[j.Image]; ok {
--- a/internal/core/controller/cancellations.go
+++ b/internal/core/controller/cancellations.go
@@ -9,16 +9,17 @@
 
 // Workers are answered, which keeps their tasks alive, only while no cancellation that
 // its user has been told of can have been unknown here for too long
-// (owner.answerUntil). The watch proves that as long as the state service answers.
+// (owner.answerDeadline). The watch proves that as long as the state service answers.
 // Where it does not, the controllers prove it to one another.
 //
 // A controller answers a cancellation once the state service has shown it the revision.
-// So each says up to which revision it, or an earlier process of it, may have answered
-// any; a process that has read the state says the revision that it read. When every
-// other controller has replied to a freshness request with a revision up to which all
-// changes are known here, then all cancellations that were answered before the request
-// was sent are known. A controller that is missing, stands still, is cut off, has just
-// started or belongs to an earlier version does not reply, and the proof ends by itself.
+// So each frame carries the highest revision of a cancellation that its sender, or an
+// earlier process of it, may have confirmed; a process that has read the state sends the
+// revision that it read. When every other controller has replied to a freshness request
+// with a revision up to which all changes are known here, then all cancellations that were
+// answered before the request was sent are known. A controller that is absent, suspended,
+// cut off, just started or of an earlier version does not reply, and the watermark stops
+// advancing.
 
 // maxFreshnessRequests bounds the requests whose replies still count, one a second.
 const maxFreshnessRequests = 16
--- a/internal/core/controller/controller.go
+++ b/internal/core/controller/controller.go
@@ -55,11 +55,11 @@
 	previousState    recovery.KnownState // known before a recovery; kept until everything is read again
 
 	// The other controllers, the cluster's level, the cloud.
-	cancellations   cancellationProof
-	load            localLoad
-	nextHeartbeatAt time.Time
-	levels          levelPublisher
-	machineTypes    machineTypeReader
+	cancellations cancellationProof
+	load          localLoad
+	nextFramesAt  time.Time
+	levels        levelPublisher
+	machineTypes  machineTypeReader
 
 	// What this process is not to do.
 	shuttingDown bool
@@ -90,7 +90,7 @@
 // Step handles one event and returns what is to be done.
 func (c *Core) Step(now time.Time, ev eventloop.Event) []eventloop.Effect {
 	c.loop.Begin(now)
-	c.noteStandstill()
+	c.noteSuspension()
 	switch e := ev.(type) {
 	case eventloop.Tick:
 		c.tick()
@@ -115,12 +115,12 @@
 	return c.loop.Effects()
 }
 
-// noteStandstill notes whether the process did not run before this step: silence in that
-// time says nothing about others.
-func (c *Core) noteStandstill() {
+// noteSuspension records whether the process was suspended before this step: silence of
+// others in that time says nothing.
+func (c *Core) noteSuspension() {
 	now := c.loop.Now
 	if gap := now.Sub(c.lastStepAt); gap > maxStepGap && !c.lastStepAt.IsZero() {
-		c.log.Info("resumed after standstill", "duration", gap.Round(time.Millisecond))
+		c.log.Info("resumed after suspension", "duration", gap.Round(time.Millisecond))
 		c.owner.ResumedAfter(gap)
 		c.resumedAt = now
 	}
@@ -134,7 +134,7 @@
 	}
 	c.checkRevision(&d)
 	c.loop.Complete(d)
-	if c.leader != nil && c.leader.PublishNow() {
+	if c.leader != nil && c.leader.TakePublishNow() {
 		c.runLeader()
 	}
 }
@@ -167,7 +167,7 @@
 	c.requestQuotaChanges()
 	c.campaign()
 	c.renewBlockLease()
-	c.heartbeatPeers()
+	c.sendFrames()
 	c.publishLevel()
 	c.owner.StorePending()
 	c.sendFreshnessCheck()
--- a/internal/core/controller/ended.go
+++ b/internal/core/controller/ended.go
@@ -84,7 +84,7 @@
 		Then: []wire.Op{{Delete: jobPrefix + id}, {Put: endPrefix + id, Value: w.end}},
 	}
 	w.job.EndInFlight = true
-	w.core.loop.Emit(eventloop.StateTxn{Txn: txn, ID: w.core.loop.Call(w.completed)})
+	w.core.loop.Emit(eventloop.StateTxn{Txn: txn, ID: w.core.loop.OnCompletion(w.completed)})
 }
 
 func (w *endWrite) completed(d eventloop.Completion) {
--- a/internal/core/controller/freshness.go
+++ b/internal/core/controller/freshness.go
@@ -43,8 +43,8 @@
 	priorities
 )
 
-// freshnessQuery is a lookup that waits for a freshness check.
-type freshnessQuery struct {
+// pendingLookup is a lookup that waits for a freshness check.
+type pendingLookup struct {
 	id       string
 	deadline time.Time // an answer is of no use after it
 	answer   func(lookup)
@@ -60,11 +60,11 @@
 // again.
 type freshnessChecker struct {
 	nextCheckAt time.Time // spaces the checks
-	queues      [priorities][]freshnessQuery
+	queues      [priorities][]pendingLookup
 	// retries holds the lookups of checks that got no answer, or failed by another
 	// job. They go out by themselves: among new ones they would fail again and again
 	// by the jobs that those ask about.
-	retries      []freshnessQuery
+	retries      []pendingLookup
 	lastWasRetry bool
 }
 
@@ -78,7 +78,7 @@
 }
 
 // nextBatch takes the lookups of the next check. Retries and new lookups take turns.
-func (f *freshnessChecker) nextBatch(limit int) (batch []freshnessQuery) {
+func (f *freshnessChecker) nextBatch(limit int) (batch []pendingLookup) {
 	if len(f.retries) > 0 && !f.lastWasRetry {
 		n := min(len(f.retries), limit)
 		batch, f.retries, f.lastWasRetry = f.retries[:n:n], f.retries[n:], true
@@ -113,10 +113,10 @@
 // times txn_ops conditions: two for each lookup, and one for the generation.
 func (c *Core) maxFreshnessBatch() int { return max(1, 2*c.view.Settings.Cluster.State.TxnOps-1) }
 
-// checkFreshness looks a job up, and answers from what is known to be current. It
+// lookUpJob looks a job up, and answers from what is known to be current. It
 // answers at once when the job has ended, as an end is final, and when no answer can be
 // expected in time.
-func (c *Core) checkFreshness(id string, purpose lookupPurpose, answer func(lookup)) {
+func (c *Core) lookUpJob(id string, purpose lookupPurpose, answer func(lookup)) {
 	if end, ok := c.ended.get(id); ok {
 		answer(lookup{end: &end})
 		return
@@ -127,7 +127,7 @@
 		answer(lookup{})
 		return
 	}
-	q := freshnessQuery{id: id, deadline: c.loop.Now.Add(timeout), answer: answer}
+	q := pendingLookup{id: id, deadline: c.loop.Now.Add(timeout), answer: answer}
 	c.freshness.queues[priority] = append(c.freshness.queues[priority], q)
 	c.sendFreshnessCheck()
 }
@@ -154,7 +154,7 @@
 	}
 	c.freshness.nextCheckAt = c.loop.Now.Add(c.freshnessInterval())
 	conds, known := c.freshnessConditions(batch)
-	c.loop.Emit(eventloop.StateTxn{Txn: wire.Txn{If: conds}, ID: c.loop.Call(func(d eventloop.Completion) {
+	c.loop.Emit(eventloop.StateTxn{Txn: wire.Txn{If: conds}, ID: c.loop.OnCompletion(func(d eventloop.Completion) {
 		c.handleFreshnessCheck(batch, known, &d)
 		c.sendFreshnessCheck()
 	})})
@@ -162,7 +162,7 @@
 
 // freshnessConditions returns what is known here of the jobs of a batch as conditions,
 // and which of the jobs are known.
-func (c *Core) freshnessConditions(batch []freshnessQuery) (conds []wire.Condition, known map[string]bool) {
+func (c *Core) freshnessConditions(batch []pendingLookup) (conds []wire.Condition, known map[string]bool) {
 	conds, known = make([]wire.Condition, 0, 2*len(batch)+1), make(map[string]bool, len(batch))
 	// The generation is part of the compare: a controller that was cut off while the
 	// state lost data need not notice by the revision, which has risen again since.
@@ -184,7 +184,7 @@
 }
 
 // handleFreshnessCheck answers the lookups of a check, or has them go out again.
-func (c *Core) handleFreshnessCheck(batch []freshnessQuery, known map[string]bool, d *eventloop.Completion) {
+func (c *Core) handleFreshnessCheck(batch []pendingLookup, known map[string]bool, d *eventloop.Completion) {
 	if d.Outcome == eventloop.Conflict && slices.Contains(d.Txn.Failed, generationKey) {
 		d.Outcome = eventloop.Unavailable // no answer can be drawn from a state of another generation
 		c.readGeneration(func(eventloop.Outcome) {})
@@ -192,7 +192,7 @@
 	switch d.Outcome {
 	case eventloop.Succeeded:
 		for _, q := range batch {
-			c.answerQuery(q, true, !known[q.id])
+			c.answerLookup(q, true, !known[q.id])
 		}
 	case eventloop.Conflict:
 		c.handleFreshnessConflict(batch, d.Txn.Failed)
@@ -209,14 +209,14 @@
 
 // handleFreshnessConflict reads the jobs again by which a check failed. Only they are
 // sure to differ, and nothing is known of the others: those go into another check.
-func (c *Core) handleFreshnessConflict(batch []freshnessQuery, failedKeys []string) {
+func (c *Core) handleFreshnessConflict(batch []pendingLookup, failedKeys []string) {
 	failed := map[string]bool{}
 	for _, key := range failedKeys {
 		if len(key) > len(jobPrefix) {
 			failed[key[len(jobPrefix):]] = true
 		}
 	}
-	changed := map[string][]freshnessQuery{} // by job
+	changed := map[string][]pendingLookup{} // by job
 	for _, q := range batch {
 		if !failed[q.id] {
 			c.retryOrFail(q)
@@ -228,14 +228,14 @@
 		}
 		c.refreshAfterConflict(q.id, failedKeys, func(read bool) {
 			for _, q := range changed[q.id] {
-				c.answerQuery(q, read, false)
+				c.answerLookup(q, read, false)
 			}
 		})
 	}
 }
 
 // retryOrFail has a lookup go out again, or gives it up when it would be too late.
-func (c *Core) retryOrFail(q freshnessQuery) {
+func (c *Core) retryOrFail(q pendingLookup) {
 	if c.loop.Now.Before(q.deadline) && c.stateReachable() {
 		c.freshness.retries = append(c.freshness.retries, q)
 	} else {
@@ -243,10 +243,10 @@
 	}
 }
 
-// answerQuery answers a lookup after the state service was asked. current says that
+// answerLookup answers a lookup after the state service was asked. current says that
 // what is known here of a running job is not older than the lookup; absent that there
 // was no such job then, though it may have come since.
-func (c *Core) answerQuery(q freshnessQuery, current, absent bool) {
+func (c *Core) answerLookup(q pendingLookup, current, absent bool) {
 	if end, ok := c.ended.get(q.id); ok {
 		q.answer(lookup{end: &end})
 	} else if j := c.owner.Job(q.id); current && j != nil && !j.Ended {
--- a/internal/core/controller/generation.go
+++ b/internal/core/controller/generation.go
@@ -19,7 +19,7 @@
 
 // readGeneration reads the generation of the state.
 func (c *Core) readGeneration(done func(outcome eventloop.Outcome)) {
-	c.loop.Emit(eventloop.StateGet{Key: generationKey, ID: c.loop.Call(func(d eventloop.Completion) {
+	c.loop.Emit(eventloop.StateGet{Key: generationKey, ID: c.loop.OnCompletion(func(d eventloop.Completion) {
 		if d.Outcome == eventloop.Succeeded {
 			c.applyGeneration(d.Pair.Value, d.Pair.Version)
 		}
@@ -42,9 +42,9 @@
 	if c.state.loaded() && c.recovery == nil {
 		switch {
 		case g.Generation > c.generation():
-			c.startRecovery(stateLoss{reason: lossRecovered, revisionSeen: c.loop.Watermark(), revisionFound: version})
+			c.startRecovery(stateLoss{reason: lossRecovered, revisionSeen: c.loop.HighestRevision(), revisionFound: version})
 		case g.Rebuilding:
-			c.startRecovery(stateLoss{reason: lossMarked, revisionSeen: c.loop.Watermark(), revisionFound: version})
+			c.startRecovery(stateLoss{reason: lossMarked, revisionSeen: c.loop.HighestRevision(), revisionFound: version})
 		}
 	}
 	if c.recovery == nil { // during a recovery the one that lost data is compared with
@@ -60,7 +60,7 @@
 	}
 	r := c.recovery
 	if r == nil {
-		f.Generation, f.Revision = c.generation(), c.loop.Watermark()
+		f.Generation, f.Revision = c.generation(), c.loop.HighestRevision()
 		return
 	}
 	f.Generation, f.StateLost, f.StateRestored = r.generation, true, r.restored
@@ -74,7 +74,7 @@
 // leaseView is what this controller knows of leases and machines.
 func (c *Core) leaseView() recovery.View {
 	v := recovery.ViewOf(c.view.Lease)
-	v.Machines, v.Token = c.owner.ForeignWorkers(), c.owner.Token()
+	v.Machines, v.Token = c.owner.ForeignWorkers(), c.owner.HighestToken()
 	slices.Sort(v.Machines)
 	return v
 }
@@ -84,14 +84,14 @@
 func (c *Core) handlePeerGeneration(p *cluster.Peer, rawView []byte) {
 	p.RecoveryView = c.decodeView(rawView)
 	if c.recovery == nil && c.startup.generationRead && p.Generation == c.generation() && !p.StateLost {
-		c.loop.RaiseWatermark(p.Revision) // calls made from now on are answered with it at least
+		c.loop.RaiseHighestRevision(p.Revision) // calls made from now on are answered with it at least
 	}
 	switch {
 	case c.recovery != nil || !c.state.loaded() || p.Generation == 0:
 	case p.StateLost && p.Generation == c.generation():
-		c.startRecovery(stateLoss{reason: lossPeer, revisionSeen: c.loop.Watermark()})
+		c.startRecovery(stateLoss{reason: lossPeer, revisionSeen: c.loop.HighestRevision()})
 	case !p.StateLost && p.Generation > c.generation():
-		c.startRecovery(stateLoss{reason: lossRecovered, revisionSeen: c.loop.Watermark()})
+		c.startRecovery(stateLoss{reason: lossRecovered, revisionSeen: c.loop.HighestRevision()})
 	}
 }
 
--- a/internal/core/controller/leader.go
+++ b/internal/core/controller/leader.go
@@ -62,7 +62,7 @@
 		return
 	}
 	if c.blockLease.RenewalUrgent() {
-		c.blockLease.RenewalSent()
+		c.blockLease.ClearRenewalRequest()
 		c.leader.RequestPublish()
 	}
 	if !c.leaseWriter.inFlight && c.leader.TakePublishDue() {
@@ -74,7 +74,7 @@
 // publishLease writes the lease value that the leader proposes.
 func (c *Core) publishLease() {
 	own := c.Renewal()
-	c.owner.ReserveQuota(own)
+	c.owner.AddOffers(own)
 	rec, stored := c.leader.Publish(own)
 	c.writeLease(rec, stored)
 }
--- a/internal/core/controller/lease_apply.go
+++ b/internal/core/controller/lease_apply.go
@@ -44,7 +44,7 @@
 		if ok && !c.shuttingDown {
 			// A process that is back within a moment may have started by a clock that
 			// stood lower than its predecessor's. Its renewals would be ignored then.
-			c.blockLease.RaiseIncarnation(b.Incarnation)
+			c.blockLease.RaiseIncarnationAbove(b.Incarnation)
 		}
 		c.blockLease.RequestRenewal()
 		return
--- a/internal/core/controller/lease_read.go
+++ b/internal/core/controller/lease_read.go
@@ -143,7 +143,7 @@
 func (r *leaseReading) readValue() {
 	c := r.core
 	known := c.view.LeaseVersion
-	c.loop.Emit(eventloop.StateGet{Key: leaseKey, ID: c.loop.Call(func(d eventloop.Completion) { r.valueRead(known, d) })})
+	c.loop.Emit(eventloop.StateGet{Key: leaseKey, ID: c.loop.OnCompletion(func(d eventloop.Completion) { r.valueRead(known, d) })})
 }
 
 // valueRead handles the answer to a reading that began when a version was known.
@@ -174,7 +174,7 @@
 // readPages reads the pages behind a key.
 func (r *leaseReading) readPages(after string) {
 	c := r.core
-	c.loop.Emit(eventloop.StateRange{Prefix: leasevalue.PagePrefix, After: after, ID: c.loop.Call(r.pagesRead)})
+	c.loop.Emit(eventloop.StateRange{Prefix: leasevalue.PagePrefix, After: after, ID: c.loop.OnCompletion(r.pagesRead)})
 }
 
 func (r *leaseReading) pagesRead(d eventloop.Completion) {
--- a/internal/core/controller/lease_write.go
+++ b/internal/core/controller/lease_write.go
@@ -51,7 +51,7 @@
 		return
 	}
 	conds := append(c.LeaseUnchanged(), c.levelRaiseConditions(&w.rec)...)
-	c.loop.Emit(eventloop.StateTxn{LeaseBudget: true, Txn: wire.Txn{If: conds, Then: ops}, ID: c.loop.Call(w.completed)})
+	c.loop.Emit(eventloop.StateTxn{LeaseBudget: true, Txn: wire.Txn{If: conds, Then: ops}, ID: c.loop.OnCompletion(w.completed)})
 }
 
 // renewOwnBlock has the write renew this controller's own block lease.
--- a/internal/core/controller/levels.go
+++ b/internal/core/controller/levels.go
@@ -101,7 +101,7 @@
 		return
 	}
 	c.levels.readInFlight = true
-	c.loop.Emit(eventloop.StateRange{Prefix: LevelPrefix, ID: c.loop.Call(func(d eventloop.Completion) {
+	c.loop.Emit(eventloop.StateRange{Prefix: LevelPrefix, ID: c.loop.OnCompletion(func(d eventloop.Completion) {
 		c.levels.readInFlight = false
 		if d.Outcome != eventloop.Succeeded {
 			c.levels.nextAt = c.loop.Now.Add(levelReadRetry)
@@ -168,7 +168,7 @@
 	c.levels.writeInFlight = true
 	key := ControllerPrefix + c.view.Self
 	txn := wire.Txn{If: []wire.Condition{{Key: key, Version: known}}, Then: []wire.Op{{Put: key, Value: rec}}}
-	c.loop.Emit(eventloop.StateTxn{Txn: txn, ID: c.loop.Call(func(d eventloop.Completion) {
+	c.loop.Emit(eventloop.StateTxn{Txn: txn, ID: c.loop.OnCompletion(func(d eventloop.Completion) {
 		c.levels.writeInFlight = false
 		switch d.Outcome {
 		case eventloop.Succeeded:
--- a/internal/core/controller/lookup.go
+++ b/internal/core/controller/lookup.go
@@ -23,7 +23,7 @@
 	if !c.acceptsLookup(e.Req, e.ID) {
 		return
 	}
-	c.checkFreshness(e.ID, forQuery, func(l lookup) {
+	c.lookUpJob(e.ID, forQuery, func(l lookup) {
 		if !c.replyJob(e.Req, e.ID, l) {
 			c.replyNotFound(e.Req, l.absent)
 		}
@@ -35,7 +35,7 @@
 	if !c.acceptsLookup(e.Req, e.ID) {
 		return
 	}
-	c.checkFreshness(e.ID, forChange, func(l lookup) {
+	c.lookUpJob(e.ID, forChange, func(l lookup) {
 		switch {
 		case l.end != nil:
 			c.loop.Reply(e.Req, eventloop.ReplyOK, endAnswer(e.ID, *l.end))
--- a/internal/core/controller/loss.go
+++ b/internal/core/controller/loss.go
@@ -10,12 +10,12 @@
 type lossReason string
 
 const (
-	lossRevision  lossReason = "its revisions went back"
-	lossLease     lossReason = "the lease value went back"
-	lossJob       lossReason = "a job's record is gone"
-	lossPeer      lossReason = "another controller found it"
-	lossRecovered lossReason = "it was recovered without this controller"
-	lossMarked    lossReason = "it is being recovered"
+	lossRevision  lossReason = "revision decreased"
+	lossLease     lossReason = "lease value older than before"
+	lossJob       lossReason = "a job has neither record nor end"
+	lossPeer      lossReason = "reported by another controller"
+	lossRecovered lossReason = "recovered without this controller"
+	lossMarked    lossReason = "recovery under way"
 )
 
 // stateLoss is a loss of data that this controller has noticed.
@@ -35,19 +35,19 @@
 		return
 	}
 	if d.Pair.Key != "" { // its version says when it was written, not when it was read
-		c.loop.RaiseWatermark(d.Pair.Version)
+		c.loop.RaiseHighestRevision(d.Pair.Version)
 		return
 	}
 	revision := max(d.Txn.Revision, d.Page.Revision, d.Changes.Revision)
-	if expected := c.loop.CallWatermark(d.ID); revision < expected {
+	if expected := c.loop.CallRevision(d.ID); revision < expected {
 		if !c.state.loaded() && c.recovery == nil {
 			c.startup.staleAnswerAt = c.loop.Now
-			c.loop.ResetWatermark()
+			c.loop.ResetHighestRevision()
 		}
 		c.startRecovery(stateLoss{reason: lossRevision, revisionSeen: expected, revisionFound: revision})
 		return
 	}
-	c.loop.RaiseWatermark(revision)
+	c.loop.RaiseHighestRevision(revision)
 }
 
 // startRecovery notes that the state has lost data and starts to recover it, or starts
@@ -55,7 +55,7 @@
 func (c *Core) startRecovery(loss stateLoss) {
 	if c.recovery != nil {
 		c.recovery.lostAgain(c.loop.Now)
-		c.loop.ResetWatermark()
+		c.loop.ResetHighestRevision()
 		return
 	}
 	if !c.canRecover() {
@@ -64,11 +64,11 @@
 	c.log.Error("the state has lost data", "reason", loss.reason, "job", loss.job, "revision_seen", loss.revisionSeen, "revision_found", loss.revisionFound,
 		"generation", c.generation(), "jobs", len(c.owner.Jobs()), "ends", len(c.ended.records))
 	c.recovery = &recoveryRun{generation: c.generation(), revisionSeen: loss.revisionSeen, revisionFound: loss.revisionFound, startedAt: c.loop.Now}
-	c.loop.ResetWatermark()
+	c.loop.ResetHighestRevision()
 	c.stepDown()
 	c.freshness.failQueued()
-	c.nextHeartbeatAt = time.Time{}
-	c.heartbeatPeers()
+	c.nextFramesAt = time.Time{}
+	c.sendFrames()
 }
 
 // canRecover reports whether this controller knows the state, and all others in reach
--- a/internal/core/controller/machinetypes.go
+++ b/internal/core/controller/machinetypes.go
@@ -37,7 +37,7 @@
 		return
 	}
 	c.machineTypes = machineTypeReader{requestedAt: c.loop.Now, inFlight: true}
-	c.loop.Emit(eventloop.CloudTypes{ID: c.loop.Call(c.machineTypesRead)})
+	c.loop.Emit(eventloop.CloudTypes{ID: c.loop.OnCompletion(c.machineTypesRead)})
 }
 
 func (c *Core) machineTypesRead(d eventloop.Completion) {
--- a/internal/core/controller/peers.go
+++ b/internal/core/controller/peers.go
@@ -34,13 +34,13 @@
 	return f
 }
 
-// heartbeatPeers keeps the links to the peers alive and publishes this controller's
+// sendFrames keeps the links to the peers alive and publishes this controller's
 // figures.
-func (c *Core) heartbeatPeers() {
-	if c.loop.Now.Before(c.nextHeartbeatAt) {
+func (c *Core) sendFrames() {
+	if c.loop.Now.Before(c.nextFramesAt) {
 		return
 	}
-	c.nextHeartbeatAt = c.loop.Now.Add(heartbeatInterval)
+	c.nextFramesAt = c.loop.Now.Add(heartbeatInterval)
 	f := c.newFrame()
 	busy, _, size := c.owner.ProcessorUse()
 	c.load.spareCPUs = size - busy
--- a/internal/core/controller/read.go
+++ b/internal/core/controller/read.go
@@ -25,18 +25,24 @@
 	c.readGeneration(r.generationRead)
 }
 
+// fail ends the reading; it begins anew after a moment.
 func (r *stateReading) fail(what string, outcome eventloop.Outcome) {
 	c := r.core
 	c.log.Info("state read failed", "reading", what, "outcome", outcome)
 	c.state.fail(c.loop.Now)
 }
 
+// generationRead goes on with the jobs.
 func (r *stateReading) generationRead(outcome eventloop.Outcome) {
 	c := r.core
-	if !readOrAbsent(outcome) || c.stateUnsettled() {
+	if !readOrAbsent(outcome) {
 		r.fail("generation", outcome)
 		return
 	}
+	if c.stateUnsettled() {
+		r.fail("recovery under way", outcome)
+		return
+	}
 	c.state.phase = readingJobs
 	r.startedAt = c.loop.Now
 	r.readJobs("")
@@ -45,7 +51,7 @@
 // readJobs reads the page of jobs behind a key.
 func (r *stateReading) readJobs(after string) {
 	c := r.core
-	c.loop.Emit(eventloop.StateRange{Prefix: jobPrefix, After: after, ID: c.loop.Call(r.jobsRead)})
+	c.loop.Emit(eventloop.StateRange{Prefix: jobPrefix, After: after, ID: c.loop.OnCompletion(r.jobsRead)})
 }
 
 func (r *stateReading) jobsRead(d eventloop.Completion) {
@@ -81,6 +87,7 @@
 	}
 }
 
+// leaseRead ends the reading.
 func (r *stateReading) leaseRead(outcome eventloop.Outcome) {
 	c := r.core
 	if !readOrAbsent(outcome) {
@@ -88,7 +95,7 @@
 		return
 	}
 	if c.stateUnsettled() {
-		r.fail("generation", outcome)
+		r.fail("recovery under way", outcome)
 		return
 	}
 	r.complete()
@@ -104,7 +111,7 @@
 	// An earlier process may have answered any cancellation that is stored.
 	c.cancellations.mayHaveAnswered(max(r.revision, 1))
 	c.election.leaderSeenAt = c.loop.Now
-	c.outgrowEarlierProcess()
+	c.raiseIncarnationAboveStored()
 	c.renewal.nextAt = c.loop.Now
 	c.log.Info("state read", "jobs", len(c.owner.Jobs()), "revision", r.revision)
 	c.watchState()
@@ -112,15 +119,15 @@
 	c.renewBlockLease()
 }
 
-// outgrowEarlierProcess raises the incarnation above that of an earlier process which
+// raiseIncarnationAboveStored raises the incarnation above that of an earlier process which
 // the lease value names as holder of the block, or as leader.
-func (c *Core) outgrowEarlierProcess() {
+func (c *Core) raiseIncarnationAboveStored() {
 	lease, own := &c.view.Lease, c.blockLease
 	if b, ok := lease.Blocks[c.view.Self]; ok && b.Incarnation >= own.Incarnation() && !own.Held() {
-		own.RaiseIncarnation(b.Incarnation)
+		own.RaiseIncarnationAbove(b.Incarnation)
 	}
 	if lease.Leader == c.view.Self && lease.Incarnation >= own.Incarnation() && c.leader == nil {
-		own.RaiseIncarnation(lease.Incarnation)
+		own.RaiseIncarnationAbove(lease.Incarnation)
 	}
 }
 
--- a/internal/core/controller/recovery.go
+++ b/internal/core/controller/recovery.go
@@ -83,14 +83,14 @@
 // stepRecovery takes the next step of a recovery. It is called with every tick.
 func (c *Core) stepRecovery() {
 	r := c.recovery
-	c.heartbeatPeers()
+	c.sendFrames()
 	c.owner.CheckMachines()
 	if r.inFlight || c.loop.Now.Before(r.nextAt) || (r.markedRebuilding && r.joining(c.loop.Now)) {
 		return
 	}
 	r.inFlight = true
 	// By a range, as that shows the revision too: another loss is noticed.
-	c.loop.Emit(eventloop.StateRange{Prefix: generationKey, ID: c.loop.Call(func(d eventloop.Completion) { c.continueRecovery(r, d) })})
+	c.loop.Emit(eventloop.StateRange{Prefix: generationKey, ID: c.loop.OnCompletion(func(d eventloop.Completion) { c.continueRecovery(r, d) })})
 }
 
 // continueRecovery decides by the generation that is stored what to do next, and does
@@ -165,7 +165,7 @@
 	g := recovery.Generation{Form: recovery.GenerationForm, Generation: c.recovery.generation, Rebuilding: true, Controller: c.view.Self,
 		RecoveredAtMs: c.loop.Now.UnixMilli()}
 	txn := wire.Txn{If: []wire.Condition{{Key: generationKey, Version: version}}, Then: []wire.Op{{Put: generationKey, Value: g}}}
-	c.loop.Emit(eventloop.StateTxn{LeaseBudget: true, Txn: txn, ID: c.loop.Call(func(eventloop.Completion) { r.stepDone(c.loop.Now) })})
+	c.loop.Emit(eventloop.StateTxn{LeaseBudget: true, Txn: txn, ID: c.loop.OnCompletion(func(eventloop.Completion) { r.stepDone(c.loop.Now) })})
 }
 
 // mayAddRecords reports whether records may come into a state that others work with
--- a/internal/core/controller/recovery_read.go
+++ b/internal/core/controller/recovery_read.go
@@ -43,7 +43,7 @@
 // readPage reads the page behind a key.
 func (r *storedStateReading) readPage(after string) {
 	c := r.core
-	c.loop.Emit(eventloop.StateRange{Prefix: r.prefixes[0], After: after, ID: c.loop.Call(r.pageRead)})
+	c.loop.Emit(eventloop.StateRange{Prefix: r.prefixes[0], After: after, ID: c.loop.OnCompletion(r.pageRead)})
 }
 
 func (r *storedStateReading) pageRead(d eventloop.Completion) {
--- a/internal/core/controller/recovery_write.go
+++ b/internal/core/controller/recovery_write.go
@@ -26,8 +26,8 @@
 		return
 	}
 	if len(txns) == 0 {
-		r.restored, c.nextHeartbeatAt = true, time.Time{} // the next one waits for it
-		c.heartbeatPeers()
+		r.restored, c.nextFramesAt = true, time.Time{} // the next one waits for it
+		c.sendFrames()
 		return
 	}
 	r.inFlight = true
@@ -79,7 +79,7 @@
 }
 
 func (w *restoreWrites) sendNext() {
-	w.core.loop.Emit(eventloop.StateTxn{Txn: w.txns[0], ID: w.core.loop.Call(w.completed)})
+	w.core.loop.Emit(eventloop.StateTxn{Txn: w.txns[0], ID: w.core.loop.OnCompletion(w.completed)})
 }
 
 func (w *restoreWrites) completed(d eventloop.Completion) {
@@ -102,7 +102,7 @@
 	if s.generation.Generation > r.generation {
 		return // another controller has; the next step sees it
 	}
-	c.blockLease.RaiseIncarnation(max(s.lease.Incarnation, s.lease.Blocks[c.view.Self].Incarnation, c.view.Lease.Blocks[c.view.Self].Incarnation))
+	c.blockLease.RaiseIncarnationAbove(max(s.lease.Incarnation, s.lease.Blocks[c.view.Self].Incarnation, c.view.Lease.Blocks[c.view.Self].Incarnation))
 	rec := c.mergeLease(s)
 	ops := []wire.Op{{Put: leaseKey, Value: rec}}
 	if rec.Form >= leasevalue.FormPages {
@@ -117,7 +117,7 @@
 	ops = append(ops, wire.Op{Put: generationKey, Value: g})
 	conds := []wire.Condition{{Key: leaseKey, Version: s.leaseVersion}, {Key: generationKey, Version: s.generationVersion}}
 	r.inFlight = true
-	c.loop.Emit(eventloop.StateTxn{LeaseBudget: true, Txn: wire.Txn{If: conds, Then: ops}, ID: c.loop.Call(func(d eventloop.Completion) {
+	c.loop.Emit(eventloop.StateTxn{LeaseBudget: true, Txn: wire.Txn{If: conds, Then: ops}, ID: c.loop.OnCompletion(func(d eventloop.Completion) {
 		r.stepDone(c.loop.Now)
 		if d.Outcome == eventloop.Succeeded && c.recovery == r {
 			c.log.Info("state recovered", "generation", g.Generation, "jobs", g.Jobs, "ends", g.Ends, "machines", g.Machines,
--- a/internal/core/controller/refresh.go
+++ b/internal/core/controller/refresh.go
@@ -9,7 +9,7 @@
 // readKey reads one key and applies its value. Of absent and done exactly one is
 // called: absent when the key does not exist, otherwise done with whether it was read.
 func (c *Core) readKey(key string, absent func(), done func(read bool)) {
-	c.loop.Emit(eventloop.StateGet{Key: key, ID: c.loop.Call(func(d eventloop.Completion) {
+	c.loop.Emit(eventloop.StateGet{Key: key, ID: c.loop.OnCompletion(func(d eventloop.Completion) {
 		switch d.Outcome {
 		case eventloop.Succeeded:
 			c.applyPut(key, d.Pair.Value, d.Pair.Version)
@@ -53,7 +53,7 @@
 	j := c.owner.Job(id)
 	c.readKey(endPrefix+id, func() {
 		if known && j != nil && !j.Ended && !j.EndInFlight {
-			c.startRecovery(stateLoss{reason: lossJob, job: id, revisionSeen: c.loop.Watermark()})
+			c.startRecovery(stateLoss{reason: lossJob, job: id, revisionSeen: c.loop.HighestRevision()})
 		}
 		done(false)
 	}, done)
--- a/internal/core/controller/renewal.go
+++ b/internal/core/controller/renewal.go
@@ -54,11 +54,11 @@
 	if !c.renewalDue(direct) {
 		return
 	}
-	c.blockLease.RenewalSent()
+	c.blockLease.ClearRenewalRequest()
 	c.renewal.nextAt = c.loop.Now.Add(c.view.Params.PublishInterval)
 	r := c.Renewal()
 	r.Resigned = !c.blockLease.Held() && c.declinesBlock()
-	c.owner.ReserveQuota(r)
+	c.owner.AddOffers(r)
 	c.blockLease.RecordRenewal(c.loop.Now)
 	switch {
 	case r.Resigned:
@@ -105,7 +105,7 @@
 		return
 	}
 	value := map[string]string{"pb": base64.StdEncoding.EncodeToString(raw)}
-	c.loop.Emit(eventloop.StateTxn{LeaseBudget: true, ID: c.loop.Call(func(eventloop.Completion) {}),
+	c.loop.Emit(eventloop.StateTxn{LeaseBudget: true, ID: c.loop.OnCompletion(func(eventloop.Completion) {}),
 		Txn: wire.Txn{Then: []wire.Op{{Put: renewalPrefix + c.view.Self, Value: value}}}})
 }
 
@@ -165,7 +165,7 @@
 		return
 	}
 	c.renewal.quotaCheckedAt = c.loop.Now
-	c.owner.RequestQuotaRenewal()
+	c.owner.RequestOfferRenewal()
 	if c.leader != nil && len(c.view.Lease.Shares) > 0 {
 		c.leader.RequestQuotaPublish()
 	}
--- a/internal/core/controller/shards.go
+++ b/internal/core/controller/shards.go
@@ -9,7 +9,7 @@
 // tasks. On a small fleet a team is one partition, as splitting it leaves room unused on
 // every shard. Once the fleet is large each controller owns a shard of a team's jobs,
 // and the controller that accepts a job puts it into the shard with most room. The shard
-// stands in the job's record and changes only when the job moves (owner/move.go).
+// stands in the job's record and changes only when the job moves (owner/migration.go).
 //
 // The jobs of a team with a limit or a guarantee are split later than those of others:
 // when the fleet is too much for one controller, or its crash would stop too much. Then
@@ -67,7 +67,7 @@
 		}
 	}
 	if best.shard != "" {
-		c.reserveCapacity(c.view.Lease.Partitions[best.shard], j)
+		c.deductCapacity(c.view.Lease.Partitions[best.shard], j)
 	}
 	return best.shard
 }
@@ -85,12 +85,12 @@
 	return &p.SpareCPUs, &p.Capacity, true
 }
 
-// reserveCapacity counts a job against the capacity of its controller until that
+// deductCapacity counts a job against the capacity of its controller until that
 // publishes its new figures.
-func (c *Core) reserveCapacity(node string, j *wire.Job) {
+func (c *Core) deductCapacity(node string, j *wire.Job) {
 	if spare, capacity, ok := c.loadOf(node); ok {
 		*spare -= float64(j.Tasks) * j.CPUs
-		capacity.Reserve(j)
+		capacity.Subtract(j)
 	}
 }
 
--- a/internal/core/controller/startup.go
+++ b/internal/core/controller/startup.go
@@ -78,7 +78,7 @@
 func (c *Core) restart() {
 	known, old := c.knownState(), *c
 	c.loop.DropCalls()
-	c.loop.ResetWatermark()
+	c.loop.ResetHighestRevision()
 	*c = Core{loop: c.loop, previousState: known, shuttingDown: old.shuttingDown, lastStepAt: old.lastStepAt,
 		state: stateReader{lastAnswer: old.state.lastAnswer}}
 	view := cluster.New(old.view.Settings, old.view.Params)
--- a/internal/core/controller/status.go
+++ b/internal/core/controller/status.go
@@ -9,12 +9,12 @@
 	return c.state.loaded() && c.incompatible == nil && c.recovery == nil
 }
 
-// WorkersServed reports whether workers may be answered: jobs are known, and this
-// controller is not the only one that the state service refuses; then others know
-// which controller holds the machines.
+// WorkersServed reports whether workers may be answered: the state is loaded, and this
+// controller holds a block or is not the only one without the state service; in that case
+// others know which controller holds the machines.
 //
-// During a recovery of the state workers are answered with their own tokens, as those
-// of others are, so that what runs lives on.
+// During a recovery of the state workers are answered as foreign ones are, with their own
+// tokens, so that their tasks keep running.
 func (c *Core) WorkersServed() bool {
 	return c.recovery != nil || c.serves() && (c.blockLease.Held() || !c.isolatedFromState())
 }
--- a/internal/core/controller/stepdown.go
+++ b/internal/core/controller/stepdown.go
@@ -37,7 +37,7 @@
 // workersReachOnlyOthers reports whether no machine of the block reports here any more
 // while at least half of them report to other controllers.
 func (c *Core) workersReachOnlyOthers() bool {
-	if !c.owner.AllWorkersElsewhere() {
+	if !c.owner.SilentBeyondRedirects() {
 		return false
 	}
 	elsewhere := 0
@@ -81,7 +81,7 @@
 
 // stepDown ends every right that this process has. The next renewal tells the others.
 func (c *Core) stepDown() {
-	c.blockLease.RaiseIncarnation(c.blockLease.Incarnation())
+	c.blockLease.RaiseIncarnationAbove(c.blockLease.Incarnation())
 	c.stopLeading()
 	c.loseBlock()
 	c.blockLease.RequestRenewal()
--- a/internal/core/controller/submit.go
+++ b/internal/core/controller/submit.go
@@ -130,7 +130,7 @@
 // is answered as it stands, whatever the body says; a final refusal is given only once
 // it is certain that the job was never accepted.
 func (c *Core) rejectSubmission(req uint64, id string, err error) {
-	c.checkFreshness(id, forChange, func(l lookup) {
+	c.lookUpJob(id, forChange, func(l lookup) {
 		var final *SubmissionError
 		switch {
 		case c.replyJob(req, id, l):
@@ -182,7 +182,7 @@
 			If:   []wire.Condition{{Key: jobPrefix + id}, {Key: endPrefix + id}},
 			Then: []wire.Op{{Put: jobPrefix + id, Value: value}},
 		},
-		ID: c.loop.Call(s.completed),
+		ID: c.loop.OnCompletion(s.completed),
 	})
 }
 
--- a/internal/core/controller/watch.go
+++ b/internal/core/controller/watch.go
@@ -20,7 +20,7 @@
 	sent := c.loop.Now
 	// Many changes in a row are read together, to save requests.
 	pause := c.requestInterval(watchRequestShare)
-	c.loop.Emit(eventloop.StateWatch{Prefix: root, After: c.state.revision, Hold: cluster.WatchHold, ID: c.loop.Call(func(d eventloop.Completion) {
+	c.loop.Emit(eventloop.StateWatch{Prefix: root, After: c.state.revision, Hold: cluster.WatchHold, ID: c.loop.OnCompletion(func(d eventloop.Completion) {
 		c.state.watching = false
 		c.state.nextWatchAt = sent.Add(pause)
 		switch d.Outcome {
--- a/internal/core/eventloop/eventloop.go
+++ b/internal/core/eventloop/eventloop.go
@@ -39,9 +39,9 @@
 // Emit asks for an effect.
 func (l *Loop) Emit(e Effect) { l.effects = append(l.effects, e) }
 
-// Call registers completed for the completion of an effect, and returns the ID that the
+// OnCompletion registers completed for the completion of an effect, and returns the ID that the
 // effect is to carry.
-func (l *Loop) Call(completed func(Completion)) uint64 {
+func (l *Loop) OnCompletion(completed func(Completion)) uint64 {
 	if l.calls == nil {
 		l.calls = map[uint64]call{}
 	}
@@ -65,19 +65,19 @@
 // DropCalls drops all open calls: their completions are ignored.
 func (l *Loop) DropCalls() { l.calls = nil }
 
-// Watermark is the highest revision that the state service has shown.
-func (l *Loop) Watermark() uint64 { return l.watermark }
+// HighestRevision is the highest revision that the state service has shown.
+func (l *Loop) HighestRevision() uint64 { return l.watermark }
 
-// RaiseWatermark notes a revision that the state service has shown. Calls made from now
+// RaiseHighestRevision notes a revision that the state service has shown. Calls made from now
 // on are answered with it at least, unless the state loses data.
-func (l *Loop) RaiseWatermark(revision uint64) { l.watermark = max(l.watermark, revision) }
+func (l *Loop) RaiseHighestRevision(revision uint64) { l.watermark = max(l.watermark, revision) }
 
-// ResetWatermark forgets all revisions seen, which say nothing about the state any more.
-func (l *Loop) ResetWatermark() { l.watermark = 0 }
+// ResetHighestRevision forgets all revisions seen, which say nothing about the state any more.
+func (l *Loop) ResetHighestRevision() { l.watermark = 0 }
 
-// CallWatermark returns the watermark of when an open call was made; 0 when there is no
+// CallRevision returns the watermark of when an open call was made; 0 when there is no
 // such call.
-func (l *Loop) CallWatermark(id uint64) uint64 { return l.calls[id].watermark }
+func (l *Loop) CallRevision(id uint64) uint64 { return l.calls[id].watermark }
 
 // Reply answers a request.
 func (l *Loop) Reply(req uint64, code ReplyCode, body any) {
--- a/internal/core/feature/feature_test.go
+++ b/internal/core/feature/feature_test.go
@@ -10,7 +10,7 @@
 
 // able is a controller that can follow all levels of this version.
 func able(name string) Member {
-	return Member{Name: name, Reachable: true, Process: 7, LeaseIncarnation: 7, Announced: Announcement{Incarnation: 7, Levels: Current(), Version: "new"}}
+	return Member{Name: name, Reachable: true, Incarnation: 7, LeaseIncarnation: 7, Announced: Announcement{Incarnation: 7, Levels: Current(), Version: "new"}}
 }
 
 // TestRaiseNeedsEveryController takes one reason after the other away from a
@@ -25,7 +25,7 @@
 		"never heard":         {func(m *Member) { *m = Member{Name: m.Name} }, "b was never heard"},
 		"absent":              {func(m *Member) { m.Reachable = false }, "b is not heard"},
 		"told nothing":        {func(m *Member) { m.Announced = Announcement{} }, "b has told no level"},
-		"a new process":       {func(m *Member) { m.Process = 8 }, "b told its level as an earlier process"},
+		"a new process":       {func(m *Member) { m.Incarnation = 8 }, "b told its level as an earlier process"},
 		"block of another":    {func(m *Member) { m.LeaseIncarnation = 8 }, "b holds its block as an earlier process"},
 		"follows less":        {func(m *Member) { m.Announced.Levels.Newest = 0 }, "b version new follows levels 0 to 0 only"},
 		"needs a later level": {func(m *Member) { m.Announced.Levels = Range{3, 4} }, "b version new follows levels 3 to 4 only"},
--- a/internal/core/feature/raiser.go
+++ b/internal/core/feature/raiser.go
@@ -22,15 +22,15 @@
 // Member is what the leader knows of one controller of the settings.
 type Member struct {
 	Name string
-	// Reachable says that it was heard a moment ago. A controller that is absent, cut
-	// off or suspended is not.
+	// Reachable says that a frame of it arrived recently. A controller that is absent, cut
+	// off or suspended is not reachable.
 	Reachable bool
-	// Process is the incarnation last heard, and LeaseIncarnation the one that the lease
+	// Incarnation is the one in its newest frame, and LeaseIncarnation the one that the lease
 	// value names for its block; 0: none.
-	Process, LeaseIncarnation uint64
+	Incarnation, LeaseIncarnation uint64
 	// Announced is what that controller has stored of itself.
 	Announced Announcement
-	// SeenLevel is the level that it had read when it was last heard.
+	// SeenLevel is the level that it had read, by its newest frame.
 	SeenLevel Level
 }
 
@@ -46,15 +46,15 @@
 // another version.
 func (m Member) BlockerFor(level Level) string {
 	switch {
-	case m.Process == 0:
+	case m.Incarnation == 0:
 		return "was never heard; it is named in the settings"
 	case !m.Reachable:
 		return "is not heard at the moment"
 	case m.Announced.Incarnation == 0:
 		return "has told no level: its version is from before levels, or it has just started"
-	case m.Announced.Incarnation != m.Process:
+	case m.Announced.Incarnation != m.Incarnation:
 		return "told its level as an earlier process"
-	case m.LeaseIncarnation != 0 && m.LeaseIncarnation != m.Process:
+	case m.LeaseIncarnation != 0 && m.LeaseIncarnation != m.Incarnation:
 		return "holds its block as an earlier process"
 	}
 	if err := m.Announced.Levels.Follow(level); err != nil {
--- a/internal/core/leader/autoscaler.go
+++ b/internal/core/leader/autoscaler.go
@@ -34,8 +34,8 @@
 	instances map[string]*instance
 	inventory inventoryScan
 
-	// Instances to be deleted. Those in unreachable are kept after all if they are
-	// heard again before the call goes out.
+	// Instances to be deleted. Those in unreachable are kept after all if a
+	// heartbeat arrives before the call goes out.
 	deleting       map[string]bool
 	unreachable    map[string]bool
 	deleteInFlight bool
@@ -81,8 +81,8 @@
 	a.noCapacityUntil = map[market]time.Time{}
 }
 
-// markUnreachable marks a machine for deletion whose holder has not heard it for too
-// long. Until the deletion is sent this is decided anew at each review: the cloud may
+// markUnreachable marks a machine for deletion whose holder has received no heartbeat for
+// too long. Until the deletion is sent this is decided anew at each review: the cloud may
 // be out for longer than the machine is silent.
 func (a *autoscaler) markUnreachable(name string) {
 	if !a.deleting[name] {
--- a/internal/core/leader/instances.go
+++ b/internal/core/leader/instances.go
@@ -37,7 +37,7 @@
 	request := wire.InstanceRequest{ID: fmt.Sprintf("r-%d-%d", l.term, a.requestCount),
 		Type: order.Type, Zone: order.Zone, Spot: order.Spot, Count: order.Count}
 	sent := l.loop.Now
-	l.loop.Emit(eventloop.CloudCreate{Request: request, ID: l.loop.Call(func(done eventloop.Completion) {
+	l.loop.Emit(eventloop.CloudCreate{Request: request, ID: l.loop.OnCompletion(func(done eventloop.Completion) {
 		a.createsInFlight--
 		l.instancesCreated(request, sent, done)
 	})})
@@ -62,8 +62,8 @@
 	}
 }
 
-// deleteInstances returns machines to the cloud. With the answer they, and all that was
-// on them, are gone.
+// deleteInstances returns machines to the cloud. With a successful answer they are
+// terminated, and all that ran on them.
 func (l *Leader) deleteInstances() {
 	a := &l.autoscaler
 	if a.deleteInFlight || len(a.deleting) == 0 || l.loop.Now.Before(a.nextDelete) {
@@ -82,7 +82,7 @@
 		}
 	}
 	l.log.Info("deleting instances", "machines", names)
-	l.loop.Emit(eventloop.CloudDelete{Names: names, ID: l.loop.Call(func(done eventloop.Completion) {
+	l.loop.Emit(eventloop.CloudDelete{Names: names, ID: l.loop.OnCompletion(func(done eventloop.Completion) {
 		a.deleteInFlight = false
 		l.instancesDeleted(names, unreachable, done.Outcome)
 	})})
--- a/internal/core/leader/inventory.go
+++ b/internal/core/leader/inventory.go
@@ -50,7 +50,7 @@
 	}
 	scan.inFlight, scan.nextPage = true, l.loop.Now.Add(pause)
 	after := scan.cursor
-	l.loop.Emit(eventloop.CloudList{After: after, ID: l.loop.Call(func(done eventloop.Completion) {
+	l.loop.Emit(eventloop.CloudList{After: after, ID: l.loop.OnCompletion(func(done eventloop.Completion) {
 		scan.inFlight = false
 		if l.stopped {
 			return
--- a/internal/core/leader/leader.go
+++ b/internal/core/leader/leader.go
@@ -130,11 +130,10 @@
 // before it acts on a missing one.
 func (l *Leader) rebuildPeriod() time.Duration { return l.view.Params.PublishInterval + time.Second }
 
-// leadConfirmed reports whether this leader may still rent and return machines. A
-// successor gives no block away before its lease has lapsed, counted from the last
-// value; until then its holders still stand for what they reported. Later, a leader that
-// is cut off or has been suspended would return machines that work for others: to it
-// they are silent.
+// leadConfirmed reports whether this leader's last stored value is recent enough to rent and
+// return machines. Until then no successor can have given a block to another holder, so the
+// renewals known here are still valid. Later, a leader that is cut off or has been suspended
+// would return machines that work for others: to it they are silent.
 func (l *Leader) leadConfirmed() bool {
 	return l.loop.Now.Sub(l.lastStored) < cluster.LocalDuration(l.view.Params.LeaseDuration)
 }
@@ -148,8 +147,8 @@
 // RequestPublish asks for a lease value to be published soon.
 func (l *Leader) RequestPublish() { l.publishPending = true }
 
-// PublishNow reports, once, whether an answer has arrived that should be acted on now.
-func (l *Leader) PublishNow() bool {
+// TakePublishNow reports, once, whether an answer has arrived that should be acted on now.
+func (l *Leader) TakePublishNow() bool {
 	again := l.publishNow
 	l.publishNow = false
 	return again
--- a/internal/core/leader/quota.go
+++ b/internal/core/leader/quota.go
@@ -39,11 +39,11 @@
 
 // transferShares gives the quota shares of a controller that has ended to its successor,
 // to whom its machines go with all that may run on them.
-func transferShares(rec *wire.LeaseRecord, dead, successor string) {
+func transferShares(rec *wire.LeaseRecord, node, successor string) {
 	for _, shares := range rec.Shares {
-		a, b := shares[dead], shares[successor]
-		delete(shares, dead)
-		shares[successor] = wire.Share{CPUs: a.CPUs + b.CPUs, GPUs: a.GPUs + b.GPUs}
+		former, inherited := shares[node], shares[successor]
+		delete(shares, node)
+		shares[successor] = wire.Share{CPUs: former.CPUs + inherited.CPUs, GPUs: former.GPUs + inherited.GPUs}
 	}
 }
 
--- a/internal/core/leader/review.go
+++ b/internal/core/leader/review.go
@@ -60,7 +60,8 @@
 	l.withdrawDrains(idle)
 }
 
-// reachableMachines returns the machines that some controller hears, whoever holds them.
+// reachableMachines returns the machines that send heartbeats to some controller, whichever
+// holds them.
 func (l *Leader) reachableMachines() map[string]bool {
 	reachable := map[string]bool{}
 	for node, renewal := range l.renewals {
--- a/internal/core/leader/scaleout.go
+++ b/internal/core/leader/scaleout.go
@@ -154,7 +154,7 @@
 // it has beyond that works off the backlog. Early or late, a backlog costs the same
 // machine time, so it is worked off as early as its objectives ask for.
 func (l *Leader) backlogForOnDemand(waiting []sched.Demand, size float64) []sched.Demand {
-	drainTimeS := maxWaitOnDemand * l.shortestBootS()
+	backlogTimeS := maxWaitOnDemand * l.shortestBootS()
 	short, cpus := l.local.ArrivalRate()-size, 0.0
 	for _, renewal := range l.renewals {
 		short += renewal.GetBusyCpus() - renewal.GetBusySpotCpus()
@@ -162,12 +162,12 @@
 	out := slices.Clone(waiting)
 	for i := range out {
 		demand := &out[i]
-		if !demand.ProvisionAll && demand.SlackS > patientSlack*drainTimeS {
+		if !demand.ProvisionAll && demand.SlackS > patientSlack*backlogTimeS {
 			demand.Count = 0 // may wait for spot machines
 		}
 		needed := float64(demand.Count) * demand.Need.CPUs
 		cpus += needed
-		short += needed * demand.RunS / max(drainTimeS, demand.SlackS, 1)
+		short += needed * demand.RunS / max(backlogTimeS, demand.SlackS, 1)
 	}
 	share := min(1, max(0, short/max(1, cpus)))
 	for i := range out {
--- a/internal/core/leader/takeover.go
+++ b/internal/core/leader/takeover.go
@@ -14,8 +14,8 @@
 func (l *Leader) takeOverLapsed(rec *wire.LeaseRecord) (stored func()) {
 	stored = func() {}
 	for _, node := range cluster.SortedKeys(rec.Blocks) {
-		dead := rec.Blocks[node]
-		resigned := l.hasResigned(node, dead)
+		former := rec.Blocks[node]
+		resigned := l.hasResigned(node, former)
 		if node == l.view.Self || (!resigned && !l.leaseLapsed(node)) {
 			continue
 		}
@@ -24,12 +24,12 @@
 			delete(l.renewals, node)
 		}
 		successor := l.successor(rec, node)
-		inheritBlock(rec, node, successor, dead)
+		inheritBlock(rec, node, successor, former)
 		before := stored
 		stored = func() {
 			before()
-			l.log.Info("lease lapsed", "controller", node, "resigned", resigned, "successor", successor,
-				"machines", len(dead.Machines)+len(dead.Unreconciled))
+			l.log.Info("block taken over", "controller", node, "resigned", resigned, "successor", successor,
+				"machines", len(former.Machines)+len(former.Unreconciled))
 		}
 	}
 	return stored
@@ -51,9 +51,9 @@
 // inheritBlock gives the machines, quota shares and partitions of a controller that has
 // ended to its successor, under a new grant. The machines may run tasks that the
 // successor does not know.
-func inheritBlock(rec *wire.LeaseRecord, node, successor string, dead wire.Block) {
+func inheritBlock(rec *wire.LeaseRecord, node, successor string, former wire.Block) {
 	block := rec.Blocks[successor]
-	block.Unreconciled = slices.Concat(block.Unreconciled, dead.Machines, dead.Unreconciled)
+	block.Unreconciled = slices.Concat(block.Unreconciled, former.Machines, former.Unreconciled)
 	slices.Sort(block.Unreconciled)
 	block.Grant = nextGrant(rec)
 	rec.Blocks[successor] = block
@@ -67,10 +67,10 @@
 
 // successor returns the controller that takes over a dead one's block: the one alive
 // with the smallest block, or this one.
-func (l *Leader) successor(rec *wire.LeaseRecord, dead string) string {
+func (l *Leader) successor(rec *wire.LeaseRecord, former string) string {
 	best := l.view.Self
 	for _, node := range cluster.SortedKeys(rec.Blocks) {
-		if node == dead || !l.isAlive(node) {
+		if node == former || !l.isAlive(node) {
 			continue
 		}
 		if machineCount(rec, node) < machineCount(rec, best) {
--- a/internal/core/leasevalue/write.go
+++ b/internal/core/leasevalue/write.go
@@ -108,23 +108,23 @@
 // assignPages gives each page to one set. Where its names are now in several, the set with
 // most of them keeps the page and the others take theirs along as names without a page.
 func (w *writer) assignPages() {
-	owner := map[int]*setGroup{}
+	keeper := map[int]*setGroup{}
 	for _, g := range w.groups {
 		for n, names := range g.pages {
-			if o := owner[n]; o == nil || len(names) > len(o.pages[n]) {
-				owner[n] = g
+			if o := keeper[n]; o == nil || len(names) > len(o.pages[n]) {
+				keeper[n] = g
 			}
 		}
 	}
 	for _, g := range w.groups {
 		for _, n := range slices.Sorted(maps.Keys(g.pages)) {
-			if owner[n] != g {
+			if keeper[n] != g {
 				g.unpaged = append(g.unpaged, g.pages[n]...)
 				delete(g.pages, n)
 			}
 		}
 	}
-	for n := range owner {
+	for n := range keeper {
 		w.taken[n] = true
 	}
 }
--- a/internal/core/owner/attempt.go
+++ b/internal/core/owner/attempt.go
@@ -13,7 +13,7 @@
 //	queued → sent                  the start is sent to the worker
 //	sent → as the worker reports   fetching, gathering, running, flushing, ended
 //	queued, sent → dropped         the start will certainly never be executed
-//	any reported → dropped         the worker has forgotten it, or its agent epoch is over
+//	any reported → dropped         the worker has forgotten it, or its agent epoch has ended
 type attemptState string
 
 const (
--- a/internal/core/owner/commands.go
+++ b/internal/core/owner/commands.go
@@ -35,7 +35,7 @@
 	commands := o.forgetsAndHalts(m, keys)
 	// A direct command only while the tokens prove that the worker receives: a command in
 	// flight is void once a higher token has come, and that may come together with it.
-	if !o.mayStart() || m.released() || (how == byCommand && !m.acknowledges()) {
+	if !o.mayStart() || m.released() || (how == byCommand && !m.hasShownToken()) {
 		return commands
 	}
 	for _, key := range keys {
@@ -156,7 +156,7 @@
 // its result.
 func (o *Owner) sendDirect(m *machine, body wire.Commands, deadline time.Time, done func(eventloop.Completion)) {
 	m.commandInFlight, m.commandSentAt = true, o.loop.Now
-	o.loop.Emit(eventloop.WorkerCommands{Endpoint: m.endpoint, Until: deadline, Body: body, ID: o.loop.Call(done)})
+	o.loop.Emit(eventloop.WorkerCommands{Endpoint: m.endpoint, Until: deadline, Body: body, ID: o.loop.OnCompletion(done)})
 }
 
 // handleCommandResult applies the result of a direct command that started some attempts.
@@ -176,7 +176,7 @@
 		}
 		o.observe(m, d.Heartbeat, statusInAnswer)
 	case d.Outcome == eventloop.Conflict || d.Outcome == eventloop.Rejected || d.Outcome == eventloop.NotSent:
-		o.handleRefusedCommand(m, started)
+		o.dropUnexecutedStarts(m, started)
 		if d.Outcome == eventloop.Conflict && hasStatus {
 			o.adoptRaisedToken(m, d.Heartbeat.Token)
 			o.observe(m, d.Heartbeat, statusInAnswer)
@@ -192,9 +192,9 @@
 	o.updateIdle(m)
 }
 
-// handleRefusedCommand drops the attempts of a command of which nothing was executed, and
+// dropUnexecutedStarts drops the attempts of a command of which nothing was executed, and
 // never will be.
-func (o *Owner) handleRefusedCommand(m *machine, started []*attempt) {
+func (o *Owner) dropUnexecutedStarts(m *machine, started []*attempt) {
 	for _, a := range started {
 		if m.attempts[a.key()] == a && !a.reported {
 			o.dropAttempt(a)
--- a/internal/core/owner/completion_log.go
+++ b/internal/core/owner/completion_log.go
@@ -215,7 +215,7 @@
 		// Under the version it was based on: a late transaction of an earlier process, or
 		// an earlier try, cannot take anything back.
 		Txn: wire.Txn{If: []wire.Condition{{Key: key, Version: p.version}}, Then: []wire.Op{{Put: key, Value: value}}},
-		ID: o.loop.Call(func(d eventloop.Completion) {
+		ID: o.loop.OnCompletion(func(d eventloop.Completion) {
 			p.writing = false
 			if d.Outcome == eventloop.Succeeded {
 				p.version, p.envelopeForm = d.Txn.Revision, form
@@ -253,7 +253,7 @@
 // may be another's, or it is this one and only the answer was lost.
 func (o *Owner) verifyPage(key string, p *page, written map[string][]byte) {
 	p.writing = true
-	o.loop.Emit(eventloop.StateGet{Key: key, ID: o.loop.Call(func(d eventloop.Completion) {
+	o.loop.Emit(eventloop.StateGet{Key: key, ID: o.loop.OnCompletion(func(d eventloop.Completion) {
 		p.writing = false
 		stored := false
 		switch d.Outcome {
--- a/internal/core/owner/completion_read.go
+++ b/internal/core/owner/completion_read.go
@@ -46,7 +46,7 @@
 
 // readPagesAfter goes on with read number n of all pages after a key.
 func (o *Owner) readPagesAfter(after string, n uint64) {
-	o.loop.Emit(eventloop.StateRange{Prefix: PagePrefix, After: after, ID: o.loop.Call(func(d eventloop.Completion) {
+	o.loop.Emit(eventloop.StateRange{Prefix: PagePrefix, After: after, ID: o.loop.OnCompletion(func(d eventloop.Completion) {
 		if d.Outcome != eventloop.Succeeded {
 			o.completions.reading = false
 			o.completions.nextRead = o.loop.Now.Add(pageReadBackoff)
--- a/internal/core/owner/demand.go
+++ b/internal/core/owner/demand.go
@@ -14,8 +14,8 @@
 	// before machines are rented for all of them. The fleet may be busy with work that never
 	// ends, or have no machine that they may use.
 	starvedAfter = 75 * time.Second
-	// classStuckAfter is how long nothing of a class may be started before its waiting work
-	// counts as starved rather than queued.
+	// classIdleAfter is how long no task of a class may have been started before its waiting
+	// tasks count as starved rather than queued.
 	classIdleAfter = 15 * time.Second
 	// maxDemandGroups bounds the groups of waiting tasks that a renewal carries.
 	maxDemandGroups = 80
--- a/internal/core/owner/failure.go
+++ b/internal/core/owner/failure.go
@@ -48,7 +48,7 @@
 	j.failures++
 	if j.likelyFaulty() && j.doneCount == 0 {
 		j.retryAt = o.loop.Now.Add(min(maxFailureBackoff, time.Second<<min(j.failures, 6)))
-		o.acquitMachines(j)
+		o.withdrawFailures(j)
 		return
 	}
 	if m.failedTasks == nil {
@@ -67,8 +67,8 @@
 	}
 }
 
-// acquitMachines takes back what a faulty job counted against machines.
-func (o *Owner) acquitMachines(j *Job) {
+// withdrawFailures removes the failures of a faulty job from the machines' counts.
+func (o *Owner) withdrawFailures(j *Job) {
 	for name := range j.failedOn {
 		if m := o.workers.machines[name]; m != nil {
 			delete(m.failedTasks, j.Record.ID)
--- a/internal/core/owner/fencing.go
+++ b/internal/core/owner/fencing.go
@@ -16,12 +16,12 @@
 // fencingToken returns the token with which messages to the machine are sent.
 func (o *Owner) fencingToken(m *machine) uint64 { return o.blockLease.Token(m.tokenIncrement) }
 
-// acknowledges reports whether the tokens in the worker's heartbeats prove that it receives
-// what this controller sends. That heartbeats come proves nothing: a worker that receives
-// nothing takes them round all controllers until its lease ends. After a command without an
-// answer, and after an agent epoch that ended although it was answered, the token is raised,
-// and only a worker that shows the raised token is alive and has room.
-func (m *machine) acknowledges() bool { return m.token >= m.firstToken && m.token >= m.minAckToken }
+// hasShownToken reports whether the tokens in the worker's heartbeats prove that it receives
+// what this controller sends. A worker that receives no answers still sends heartbeats, to
+// one controller after another, until its lease ends. So after an unanswered command, or an
+// agent epoch that ended although it was answered, the token is raised; only a worker that
+// shows the raised token counts as alive and may get tasks.
+func (m *machine) hasShownToken() bool { return m.token >= m.firstToken && m.token >= m.minAckToken }
 
 // raiseToken raises the token that the worker has to show next.
 func (o *Owner) raiseToken(m *machine) {
@@ -57,7 +57,7 @@
 // has reported to others in between, and every tokenRaiseInterval. What was sent before is
 // void then, and the owner continues from the higher token (adoptRaisedToken).
 func (o *Owner) raiseForeignToken(w *foreignWorker) uint64 {
-	stayed := w.lastStayed.Equal(o.loop.Now)
+	stayed := w.lastConsecutive.Equal(o.loop.Now)
 	if !stayed || o.loop.Now.Sub(w.tokenRaisedAt) >= tokenRaiseInterval {
 		w.token, w.tokenRaisedAt = max(w.token, w.heartbeat.Token)+1, o.loop.Now
 	}
--- a/internal/core/owner/fencing_test.go
+++ b/internal/core/owner/fencing_test.go
@@ -76,7 +76,7 @@
 		}
 	}
 	sendHeartbeat(o, at.Add(2*time.Second), eventloop.HeartbeatRequest{Req: 3, Heartbeat: heartbeatOf(m, 1, 9, o.fencingToken(m))})
-	if !m.acknowledges() {
+	if !m.hasShownToken() {
 		t.Error("shows the raised token, and does not count as acknowledging")
 	}
 }
@@ -89,7 +89,7 @@
 	sendHeartbeat(o, now, eventloop.HeartbeatRequest{Req: 1, Heartbeat: heartbeatOf(m, 1, 1, m.firstToken)})
 	raised := m.firstToken + 3
 	sendHeartbeat(o, now.Add(time.Second), eventloop.HeartbeatRequest{Req: 2, Heartbeat: heartbeatOf(m, 1, 8, raised)})
-	if got := heartbeatAnswers(o.loop.Effects()); len(got) != 1 || got[0].Token < raised || len(o.workers.foreign) > 0 || !m.acknowledges() {
+	if got := heartbeatAnswers(o.loop.Effects()); len(got) != 1 || got[0].Token < raised || len(o.workers.foreign) > 0 || !m.hasShownToken() {
 		t.Errorf("answered with %+v, foreign workers %d", got, len(o.workers.foreign))
 	}
 	sendHeartbeat(o, now.Add(2*time.Second), eventloop.HeartbeatRequest{Req: 3, Heartbeat: heartbeatOf(m, 1, 9, m.firstToken+1<<24)})
--- a/internal/core/owner/filter.go
+++ b/internal/core/owner/filter.go
@@ -17,12 +17,18 @@
 // usable reports whether new tasks may be placed on a machine.
 func (o *Owner) usable(m *machine) bool { return !m.draining() && o.canRunTasks(m) }
 
+// A machine silent for longer than so many report intervals and the slack gets no new tasks.
+const (
+	placeableReports = 1.3
+	placeableSlack   = 700 * time.Millisecond
+)
+
 // canRunTasks reports whether a machine could take new tasks, whether or not the leader
 // wants it back.
 func (o *Owner) canRunTasks(m *machine) bool {
-	maxSilence := config.Seconds(1.3*o.view.Settings.Cluster.Workers.ReportS) + 700*time.Millisecond
+	maxSilence := config.Seconds(placeableReports*o.view.Settings.Cluster.Workers.ReportS) + placeableSlack
 	return !m.released() && !m.quarantined && !m.unreachable && m.reclaimAt.IsZero() &&
-		!m.mayRunUnknownTasks() && m.acknowledges() && m.agentEpoch != 0 && m.size.CPUs > 0 &&
+		!m.mayRunUnknownTasks() && m.hasShownToken() && m.agentEpoch != 0 && m.size.CPUs > 0 &&
 		!o.loop.Now.Before(m.noTasksBefore) && o.silence(m) < maxSilence
 }
 
--- a/internal/core/owner/foreign.go
+++ b/internal/core/owner/foreign.go
@@ -29,6 +29,9 @@
 	// maxForeignTTL bounds for how long the heartbeat of a foreign worker proves that its
 	// machine is alive.
 	maxForeignTTL = 10 * time.Second
+	// provingReports is how many report intervals a new worker counts as alive, beside two
+	// tries at other controllers, without having shown that it receives answers.
+	provingReports = 1.5
 )
 
 // foreignWorker is a worker that reports here and whose machine is in another block, or in
@@ -45,16 +48,16 @@
 	token            uint64 // the highest it was answered with, see raiseForeignToken
 	tokenRaisedAt    time.Time
 	answeredSequence uint64    // the heartbeat that was last answered; 0: the newest was not
-	lastStayed       time.Time // when the heartbeat right after an answered one last came here
+	lastConsecutive  time.Time // when the heartbeat right after an answered one last came here
 }
 
 // provesAlive reports whether the worker's heartbeats prove that its machine is alive. Only
 // a worker that stays where it was answered receives answers; a new one has not had the
 // chance to show that.
 func (o *Owner) provesAlive(w *foreignWorker) bool {
-	trial := 2*answerTimeout + config.Seconds(1.5*o.view.Settings.Cluster.Workers.ReportS)
+	provingTime := 2*answerTimeout + config.Seconds(provingReports*o.view.Settings.Cluster.Workers.ReportS)
 	return o.loop.Now.Sub(w.lastHeartbeat) < o.foreignHeartbeatTTL() &&
-		(o.loop.Now.Sub(w.firstSeen) < trial || o.loop.Now.Sub(w.lastStayed) < o.foreignHeartbeatTTL())
+		(o.loop.Now.Sub(w.firstSeen) < provingTime || o.loop.Now.Sub(w.lastConsecutive) < o.foreignHeartbeatTTL())
 }
 
 // foreignHeartbeatTTL returns for how long the heartbeat of a foreign worker proves that its
@@ -84,7 +87,7 @@
 		o.blockLease.RequestRenewal() // its holder may take it to be unreachable
 	}
 	if w.answeredSequence != 0 && hb.Sequence == w.answeredSequence+1 {
-		w.lastStayed = o.loop.Now
+		w.lastConsecutive = o.loop.Now
 	}
 	w.heartbeat, w.lastHeartbeat, w.answeredSequence = *hb, o.loop.Now, 0
 	o.answerForeignWorker(e, w)
@@ -167,8 +170,8 @@
 	return holder != "" && o.view.Peers[holder] != nil && o.view.Peers[holder].AcceptsRaisedTokens
 }
 
-// haltsForEndedJobs returns the commands that halt the tasks of jobs that have ended: what
-// is over must not be kept alive. A job cancelled long ago may be unknown here, after a
+// haltsForEndedJobs returns the commands that halt the tasks of jobs that have ended: these
+// must not be kept alive. A job cancelled long ago may be unknown here, after a
 // restart all that have ended are. While this controller's knowledge is old, such a task
 // may also belong to a new job: ok is false then, and another controller has to answer.
 func (o *Owner) haltsForEndedJobs(hb *wire.Heartbeat) (commands []wire.Command, ok bool) {
@@ -255,7 +258,7 @@
 	var counts map[string]int32
 	for name, w := range o.workers.foreign {
 		holder := o.view.HolderOf(name)
-		if holder == "" || holder == o.view.Self || o.loop.Now.Sub(w.lastStayed) > o.foreignHeartbeatTTL() {
+		if holder == "" || holder == o.view.Self || o.loop.Now.Sub(w.lastConsecutive) > o.foreignHeartbeatTTL() {
 			continue
 		}
 		if counts == nil {
--- a/internal/core/owner/handover.go
+++ b/internal/core/owner/handover.go
@@ -27,8 +27,9 @@
 	minImbalance = 2
 )
 
-// partitionsToHandOver returns the partitions that this controller would rather hand over,
-// and can; at most one of each team, so that the next look sees what came of it.
+// partitionsToHandOver returns the partitions to offer in the next renewal: those that can
+// move, while another controller has fewer of the team or free capacity for what waits. It is
+// at most one of each team, so that the next review sees what became of it.
 func (o *Owner) partitionsToHandOver() []string {
 	if !o.blockLease.Held() || o.UnreconciledMachines() > 0 {
 		return nil
@@ -42,8 +43,7 @@
 	return list
 }
 
-// partitionToHandOver returns the last partition of a team that this controller would rather
-// hand over, and can, or "".
+// partitionToHandOver returns the last partition of a team to be offered, or "".
 func (o *Owner) partitionToHandOver(team string) string {
 	own, fewest := o.teamPartitions(team)
 	if len(own) < 2 || fewest < 0 {
@@ -53,7 +53,7 @@
 		if at, ok := o.partitions.offeredAt[own[i]]; ok && o.loop.Now.Sub(at) < handoverInterval {
 			continue
 		}
-		waitingCPUs, drained := o.drained(own[i])
+		waitingCPUs, drained := o.partitionMovable(own[i])
 		if drained && (len(own)-fewest >= minImbalance || (waitingCPUs > 0 && o.hasRoomElsewhere(waitingCPUs))) {
 			return own[i]
 		}
@@ -80,15 +80,15 @@
 	return own, fewest
 }
 
-// drained reports whether no task of a partition is anywhere, and everything that is
+// partitionMovable reports whether no attempt of a partition exists, and everything that is
 // completed of it is stored, so that another owner would find it. waitingCPUs is what its
 // waiting tasks need.
-func (o *Owner) drained(partition string) (waitingCPUs float64, drained bool) {
+func (o *Owner) partitionMovable(partition string) (waitingCPUs float64, movable bool) {
 	for _, j := range o.jobs {
 		if j.partition() != partition {
 			continue
 		}
-		if !j.drained() {
+		if !j.movable() {
 			return 0, false
 		}
 		waitingCPUs += float64(len(j.queue)) * j.Record.CPUs
@@ -96,10 +96,10 @@
 	return waitingCPUs, true
 }
 
-// drained reports whether no task of the job is anywhere, and everything that is completed
+// movable reports whether no attempt of the job exists, and everything that is completed
 // is stored. A completed task that is not stored would be run again: its worker reports to
 // this controller only.
-func (j *Job) drained() bool {
+func (j *Job) movable() bool {
 	if len(j.attempts) > 0 || j.EndInFlight {
 		return false
 	}
--- a/internal/core/owner/handover_test.go
+++ b/internal/core/owner/handover_test.go
@@ -64,7 +64,7 @@
 	o.ApplyJob(wire.JobRecord{Job: wire.Job{ID: "wk-000001", Team: "red", Shape: wire.Array, Priority: "standard", Tasks: 8, CPUs: 1}, Shard: "red #3"}, RecordInfo{Version: 9})
 	j := o.jobs["wk-000001"]
 	r := &peerpb.Renewal{Number: o.blockLease.RecordRenewal(now)}
-	o.ReserveQuota(r)
+	o.AddOffers(r)
 	if !slices.Equal(r.Handovers, []string{"red #3"}) || r.Grant != 1<<18 {
 		t.Fatalf("offers %v under grant %d", r.Handovers, r.Grant)
 	}
--- a/internal/core/owner/health.go
+++ b/internal/core/owner/health.go
@@ -11,14 +11,14 @@
 //
 //   - By default, once the worker's lease has certainly ended.
 //   - Later in a zone that is cut off. Its machines come back as they were when the
-//     partition ends, so they get more time: new ones would take a boot time, and may not
+//     network partition ends, so they get more time: new ones would take a boot time, and may not
 //     be had at all.
 //   - Sooner for a spot machine that falls silent by itself, or while the on-demand
-//     machines of its zone are heard: it was most likely reclaimed without notice, as some
+//     machines of its zone send heartbeats: it was most likely reclaimed without notice, as some
 //     are. First it becomes suspected, and the leader can rent another.
 //
-// Only if the on-demand machines of a zone are heard all the while are its silent spot
-// machines reclaimed, however many they are.
+// Silent spot machines of a zone count as reclaimed, however many they are, only if its
+// on-demand machines send heartbeats all the while.
 
 const (
 	// silentReports is after how many report intervals without a heartbeat a machine is
@@ -37,12 +37,17 @@
 	maxAloneFraction = 0.05
 	// minAlone is how many machines always count as having fallen silent by themselves.
 	minAlone = 2
-	// minZoneWitnesses is how many on-demand machines it takes to tell what happened to
-	// the others of their zone.
-	minZoneWitnesses = 4
-	// minCutOffMachines is how many machines of a zone without witnesses have to be silent
+	// minOnDemandSample is how many on-demand machines of a zone it takes to conclude from
+	// them what happened to the others.
+	minOnDemandSample = 4
+	// minCutOffMachines is how many machines of a zone without so many have to be silent
 	// for it to be cut off.
 	minCutOffMachines = 3
+	// cutOffFraction is the part of a zone's machines that have to be late or silent for the
+	// zone to be cut off, and maxLateForReclaim the part of its on-demand machines up to
+	// which it is not.
+	cutOffFraction    = 0.5
+	maxLateForReclaim = 0.1
 	// reclaimGrace is how long after the time of a reclaim notice the machine may still
 	// report.
 	reclaimGrace = 2 * time.Second
@@ -51,8 +56,8 @@
 // silence returns how long ago the machine's last heartbeat was.
 func (o *Owner) silence(m *machine) time.Duration { return o.loop.Now.Sub(m.lastHeartbeat) }
 
-// missesHeartbeats reports whether a machine is silent.
-func (o *Owner) missesHeartbeats(m *machine) bool {
+// isSilent reports whether a machine is silent.
+func (o *Owner) isSilent(m *machine) bool {
 	return o.silence(m) > config.Seconds(silentReports*o.view.Settings.Cluster.Workers.ReportS)
 }
 
@@ -69,15 +74,15 @@
 
 // cutOff reports whether the zone's silent machines are cut off rather than dead.
 func (z *zoneCensus) cutOff() bool {
-	if z.onDemand >= minZoneWitnesses {
-		return 2*z.onDemandLate >= z.onDemand
+	if z.onDemand >= minOnDemandSample {
+		return float64(z.onDemandLate) >= cutOffFraction*float64(z.onDemand)
 	}
-	return z.silent >= minCutOffMachines && 2*z.silent >= z.all
+	return z.silent >= minCutOffMachines && float64(z.silent) >= cutOffFraction*float64(z.all)
 }
 
 // spotReclaim reports whether spot machines that are silent in the zone were reclaimed.
 func (z *zoneCensus) spotReclaim() bool {
-	return z.onDemand >= minZoneWitnesses && 10*z.onDemandLate <= z.onDemand
+	return z.onDemand >= minOnDemandSample && float64(z.onDemandLate) <= maxLateForReclaim*float64(z.onDemand)
 }
 
 // checkMachines gives up machines that have been silent for too long, and releases drained
@@ -118,15 +123,15 @@
 				z.onDemandLate++
 			}
 		}
-		if o.missesHeartbeats(m) {
+		if o.isSilent(m) {
 			z.silent++
 		}
 	}
 	return zones, late
 }
 
-// extendCutOffs notes until when zones count as cut off. Their machines do not all come back
-// at the moment in which a partition ends: some have first to be redirected here by the
+// extendCutOffs records until when zones count as cut off. Their machines do not all come
+// back at the moment in which a network partition ends: some have first to be redirected here by the
 // controllers that they turned to meanwhile.
 func (o *Owner) extendCutOffs(zones map[string]*zoneCensus) {
 	for zone, z := range zones {
@@ -139,7 +144,7 @@
 // checkSilence gives a machine up that has been silent for too long, or past its reclaim
 // notice.
 func (o *Owner) checkSilence(m *machine, z *zoneCensus, late int) {
-	if o.missesHeartbeats(m) {
+	if o.isSilent(m) {
 		o.workers.toProbe[m.name] = true
 	}
 	limit := o.silenceLimit(m, z, late)
@@ -151,8 +156,8 @@
 	}
 }
 
-// silenceLimit returns after which silence a machine is given up, and suspects a spot
-// machine that was most likely reclaimed.
+// silenceLimit returns the silence after which a machine is marked unreachable. It also marks
+// a spot machine as suspected that was most likely reclaimed.
 func (o *Owner) silenceLimit(m *machine, z *zoneCensus, late int) time.Duration {
 	workers := o.view.Settings.Cluster.Workers
 	limit := cluster.RemoteDuration(config.Seconds(workers.LeaseS)) + time.Second
--- a/internal/core/owner/heartbeat.go
+++ b/internal/core/owner/heartbeat.go
@@ -48,13 +48,13 @@
 		o.answerHeartbeat(e.Req, o.answerDeadline(), o.fencingToken(m), []wire.Command{})
 		return
 	}
-	o.acknowledge(e.Req, m)
+	o.answerOwnWorker(e.Req, m)
 }
 
-// acknowledge answers the newest heartbeat of a machine of the block, with commands.
-func (o *Owner) acknowledge(req uint64, m *machine) {
+// answerOwnWorker answers the newest heartbeat of a machine of the block, with commands.
+func (o *Owner) answerOwnWorker(req uint64, m *machine) {
 	o.fenceOverdueCommand(m)
-	m.lastAcknowledged = o.loop.Now
+	m.lastAnswered = o.loop.Now
 	m.answeringHeartbeat = true
 	o.placeSoon()
 	m.answeringHeartbeat = false
@@ -89,8 +89,8 @@
 	return len(o.workers.machines) > 0 && o.loop.Now.Sub(o.workers.lastHeartbeat) > o.heartbeatGap()
 }
 
-// AllWorkersElsewhere reports whether none of the block's machines has reported for so long
+// SilentBeyondRedirects reports whether none of the block's machines has reported for so long
 // that those which turned to other controllers must have been redirected here meanwhile.
-func (o *Owner) AllWorkersElsewhere() bool {
+func (o *Owner) SilentBeyondRedirects() bool {
 	return len(o.workers.machines) > 0 && o.loop.Now.Sub(o.workers.lastHeartbeat) > o.heartbeatGap()+redirectInterval+heartbeatSlack
 }
--- a/internal/core/owner/migration.go
+++ b/internal/core/owner/migration.go
@@ -174,7 +174,7 @@
 	for i := range slots {
 		s := &slots[i]
 		m := machine{machineType: s.MachineType, zone: s.Zone, spot: s.Spot}
-		fits := (!s.OverdueOnly || o.waitsLong(j)) && j.mayRunOn(&m) && j.need().Fits(s.Free)
+		fits := (!s.LongWaitOnly || o.waitsLong(j)) && j.mayRunOn(&m) && j.need().Fits(s.Free)
 		if fits && (best == nil || s.Free.CPUs > best.Free.CPUs) {
 			best = s
 		}
@@ -188,7 +188,7 @@
 	rec.Shard, rec.Owner = partition, controller
 	info := RecordInfo{}
 	if j.doneCount > 0 {
-		info.FirstVersion = 1 // older than any partition: the new owner reads what is completed
+		info.FirstVersion = olderThanAnyPartition // the new owner reads what is completed
 	}
 	value, form, err := o.movedRecord(&rec, info.FirstVersion)
 	if err != nil {
@@ -206,7 +206,7 @@
 			If:   append(o.records.LeaseUnchanged(), wire.Condition{Key: key, Version: j.Version}),
 			Then: []wire.Op{{Put: key, Value: value}},
 		},
-		ID: o.loop.Call(func(d eventloop.Completion) {
+		ID: o.loop.OnCompletion(func(d eventloop.Completion) {
 			switch d.Outcome {
 			case eventloop.Succeeded:
 				o.log.Info("job moved", "job", rec.ID, "tasks", rec.Tasks, "duration", j.age(o.loop.Now).Round(time.Second), "controller", controller)
--- a/internal/core/owner/observe.go
+++ b/internal/core/owner/observe.go
@@ -33,8 +33,8 @@
 		o.workers.toProbe[m.name] = true
 		return false
 	}
-	restarted := hb.AgentEpoch > m.agentEpoch && m.agentEpoch != 0
-	if restarted && o.loop.Now.Sub(m.lastAcknowledged) < config.Seconds(o.view.Settings.Cluster.Workers.LeaseS) {
+	epochEnded := hb.AgentEpoch > m.agentEpoch && m.agentEpoch != 0
+	if epochEnded && o.loop.Now.Sub(m.lastAnswered) < config.Seconds(o.view.Settings.Cluster.Workers.LeaseS) {
 		o.raiseToken(m) // its lease ended although it was answered: it does not receive answers
 	}
 	m.agentEpoch, m.sequence, m.token = hb.AgentEpoch, hb.Sequence, max(m.token, hb.Token)
@@ -48,14 +48,14 @@
 		o.placement.due = true
 	}
 	listed := o.observeTasks(m, hb)
-	o.dropUnlisted(m, hb, listed, source, restarted)
+	o.dropUnlisted(m, hb, listed, source, epochEnded)
 	o.updateIdle(m)
 	return true
 }
 
 // observeLiveness counts a machine as alive that has reported and receives commands.
 func (o *Owner) observeLiveness(m *machine, source heartbeatSource) {
-	if !m.acknowledges() {
+	if !m.hasShownToken() {
 		return
 	}
 	m.unansweredCommands = 0
@@ -141,13 +141,13 @@
 
 // dropUnlisted drops the attempts that the worker does not list and that therefore are
 // certainly not running. One whose start may still arrive stays.
-func (o *Owner) dropUnlisted(m *machine, hb *wire.Heartbeat, listed map[attemptKey]bool, source heartbeatSource, restarted bool) {
+func (o *Owner) dropUnlisted(m *machine, hb *wire.Heartbeat, listed map[attemptKey]bool, source heartbeatSource, epochEnded bool) {
 	for key, a := range m.attempts {
 		if listed[key] || a.state == attemptQueued {
 			continue
 		}
 		// Otherwise it was killed with its agent epoch, or forgotten.
-		if !restarted && !a.reported && a.mayStillStart(m, hb, source) {
+		if !epochEnded && !a.reported && a.mayStillStart(m, hb, source) {
 			continue
 		}
 		o.dropAttempt(a)
--- a/internal/core/owner/observe_test.go
+++ b/internal/core/owner/observe_test.go
@@ -23,7 +23,7 @@
 			t.Errorf("taken over: %v: the copy counted: %+v, %d done, %d attempts", unreconciled, m, j.doneCount, len(j.attempts))
 		}
 		sendHeartbeat(o, now.Add(2*time.Second), eventloop.HeartbeatRequest{Req: 2, Heartbeat: heartbeatOf(m, 1, 95, m.firstToken)})
-		if !m.acknowledges() || m.sequence != 95 || m.needsReconciliation {
+		if !m.hasShownToken() || m.sequence != 95 || m.needsReconciliation {
 			t.Fatalf("a report that shows the token does not count: %+v", m)
 		}
 		attempts := len(j.attempts)
--- a/internal/core/owner/owner.go
+++ b/internal/core/owner/owner.go
@@ -47,9 +47,9 @@
 	// HasEnded reports whether a job is known to have ended.
 	HasEnded(id string) bool
 	// StoreEnd stores that a job has ended in a state, unless it has ended otherwise. It
-	// retries up to tries times when the record has changed in between, and then calls
-	// then with whether an end is stored.
-	StoreEnd(j *Job, state string, tries int, then func(stored bool))
+	// retries at most retries times after a conflict; done receives whether an end is
+	// stored.
+	StoreEnd(j *Job, state string, retries int, done func(stored bool))
 	// JobKey returns the key of a job's record.
 	JobKey(id string) string
 	// LeaseUnchanged returns the conditions under which the lease value is still the one
--- a/internal/core/owner/placement.go
+++ b/internal/core/owner/placement.go
@@ -55,8 +55,8 @@
 	stoppableListed bool
 }
 
-// reserve takes the room of a task off the candidate.
-func (c *candidate) reserve(need sched.Resources) {
+// takeRoom takes the room of a task off the candidate.
+func (c *candidate) takeRoom(need sched.Resources) {
 	c.free = c.free.Add(need, -1)
 	c.freeSoon = c.freeSoon.Add(need, -1)
 }
@@ -82,7 +82,7 @@
 	r := o.newRound(slices.ContainsFunc(jobs, o.waitsLong))
 	o.placeOverdue(r, jobs)
 	maxFree := r.maxFree()
-	preempts := o.preemptionDue()
+	preempts := o.takePreemptionDue()
 	for _, j := range jobs {
 		if o.waitsForReconciliation(j, r.unreconciled) {
 			continue
@@ -158,7 +158,7 @@
 			scored = slices.Delete(scored, best, best+1)
 			continue
 		}
-		c.reserve(need)
+		c.takeRoom(need)
 		o.bind(j, c.machine)
 		if need.Fits(c.free) && len(c.machine.attempts) < maxAttemptsPerMachine {
 			scored[best].cost = o.score(j, c)
@@ -180,7 +180,7 @@
 		return nil
 	}
 	best := scored[cheapest(scored)].candidate
-	best.reserve(j.need())
+	best.takeRoom(j.need())
 	return o.bind(j, best.machine)
 }
 
--- a/internal/core/owner/preemption.go
+++ b/internal/core/owner/preemption.go
@@ -50,8 +50,8 @@
 	lostWork  float64
 }
 
-// preemptionDue reports whether this round may preempt, and notes that it does.
-func (o *Owner) preemptionDue() bool {
+// takePreemptionDue reports whether this round may preempt, and notes that it does.
+func (o *Owner) takePreemptionDue() bool {
 	if o.loop.Now.Sub(o.placement.preemptedAt) < preemptInterval {
 		return false
 	}
--- a/internal/core/owner/quota_share.go
+++ b/internal/core/owner/quota_share.go
@@ -140,8 +140,9 @@
 	return max(share, min(int(math.Ceil(s.used)), s.shares[s.self]))
 }
 
-// RequestQuotaRenewal asks for a renewal when there is something new to reserve for others.
-func (o *Owner) RequestQuotaRenewal() {
+// RequestOfferRenewal asks for a renewal when there are quota shares or partitions to offer
+// that were not offered before.
+func (o *Owner) RequestOfferRenewal() {
 	for team, s := range o.sparableShares() {
 		if s != o.blockLease.UsableShare(team, o.view.Lease.Shares[team][o.view.Self]) {
 			o.blockLease.RequestRenewal()
@@ -152,9 +153,9 @@
 	}
 }
 
-// ReserveQuota puts what this controller can do without into a renewal, and keeps to it from
-// now on, whether or not the leader ever reads that.
-func (o *Owner) ReserveQuota(r *peerpb.Renewal) {
+// AddOffers adds quota reservations and partition offers to a renewal. Both bind this
+// controller from now on, whether or not the leader ever reads them.
+func (o *Owner) AddOffers(r *peerpb.Renewal) {
 	sparable := o.sparableShares()
 	r.Grant = o.blockLease.Grant()
 	for _, team := range cluster.SortedKeys(sparable) {
--- a/internal/core/owner/record_upgrade.go
+++ b/internal/core/owner/record_upgrade.go
@@ -160,7 +160,7 @@
 	u := &o.upgrade
 	u.inFlight = true
 	u.budget -= float64(len(batch.jobs))
-	o.loop.Emit(eventloop.StateTxn{Txn: batch.txn, ID: o.loop.Call(func(d eventloop.Completion) {
+	o.loop.Emit(eventloop.StateTxn{Txn: batch.txn, ID: o.loop.OnCompletion(func(d eventloop.Completion) {
 		u.inFlight = false
 		switch {
 		case d.Outcome == eventloop.Succeeded:
--- a/internal/core/owner/registry.go
+++ b/internal/core/owner/registry.go
@@ -73,8 +73,8 @@
 // MachineCount returns how many machines are in the block.
 func (o *Owner) MachineCount() int { return len(o.workers.machines) }
 
-// Token returns the highest fencing token that any worker has shown here.
-func (o *Owner) Token() uint64 { return o.workers.highestToken }
+// HighestToken returns the highest fencing token that any worker has shown here.
+func (o *Owner) HighestToken() uint64 { return o.workers.highestToken }
 
 // UnreconciledMachines returns how many machines may run tasks that are not known here.
 func (o *Owner) UnreconciledMachines() int {
--- a/internal/core/owner/renewal.go
+++ b/internal/core/owner/renewal.go
@@ -22,13 +22,13 @@
 
 // reportMachines reports the machines of the block.
 func (o *Owner) reportMachines(r *peerpb.Renewal) {
-	var released, silent, withoutEndpoint, onDemandOnly []string
+	var released, unreachable, withoutEndpoint, onDemandOnly []string
 	for _, m := range o.workers.machinesByName() {
 		switch {
 		case m.released():
 			released = append(released, m.name)
 		case m.unreachable:
-			silent = append(silent, m.name)
+			unreachable = append(unreachable, m.name)
 		}
 		if m.endpoint == "" && !m.released() {
 			withoutEndpoint = append(withoutEndpoint, m.name)
@@ -49,7 +49,7 @@
 			r.MachineUse = append(r.MachineUse, use)
 		}
 	}
-	r.Released, r.SilentMachines = wire.PackNames(released), wire.PackNames(silent)
+	r.Released, r.SilentMachines = wire.PackNames(released), wire.PackNames(unreachable)
 	r.UnknownEndpoints, r.OnDemandOnly = wire.PackNames(withoutEndpoint), wire.PackNames(onDemandOnly)
 }
 
--- a/internal/core/owner/reservation.go
+++ b/internal/core/owner/reservation.go
@@ -77,7 +77,7 @@
 		return
 	}
 	room := max(1, int(maxReservedFraction*float64(len(r.candidates))))
-	room -= o.renewReservations(r, overdue)
+	room -= o.keepEarlierReservations(r, overdue)
 	// Hundreds of small jobs may be overdue at once on a full fleet.
 	maxFree := r.maxFree()
 	for _, j := range overdue {
@@ -102,7 +102,7 @@
 			continue
 		}
 		if !o.limitAllows(j, r.unknownUse) {
-			o.logOverdue(j, "its team's limit")
+			o.logOverdue(j, "team limit reached")
 			continue
 		}
 		overdue = append(overdue, j)
@@ -110,9 +110,9 @@
 	return overdue
 }
 
-// renewReservations reserves the machines that were reserved in earlier rounds and returns
+// keepEarlierReservations reserves the machines that were reserved in earlier rounds and returns
 // how many those are. Of several jobs for the same machine it is the first.
-func (o *Owner) renewReservations(r *round, overdue []*Job) int {
+func (o *Owner) keepEarlierReservations(r *round, overdue []*Job) int {
 	reserved := map[string]*Job{}
 	for _, j := range overdue {
 		if j.reservedMachine != "" && reserved[j.reservedMachine] == nil {
@@ -135,7 +135,7 @@
 // wait for ever, and nobody else get that room. It reports whether a machine was reserved.
 func (o *Owner) reserveMachine(r *round, j *Job, allowed bool) bool {
 	if !allowed {
-		o.logOverdue(j, "room is kept for others")
+		o.logOverdue(j, "reservation limit reached")
 		return false
 	}
 	var best *candidate
@@ -155,7 +155,7 @@
 	if j.reservedMachine != best.machine.name {
 		j.reservedMachine, j.reservedSince = best.machine.name, o.loop.Now
 	}
-	o.logOverdue(j, "no room, kept on "+best.machine.name)
+	o.logOverdue(j, "no room; reserved machine "+best.machine.name)
 	return true
 }
 
--- a/internal/core/owner/snapshot.go
+++ b/internal/core/owner/snapshot.go
@@ -11,6 +11,10 @@
 // A snapshot is what an owner knows of jobs, to be stored again if the state service has
 // lost data.
 
+// olderThanAnyPartition is a first version of a record that makes every owner read what is
+// stored of the job, and look at the machines, before it starts a task of it.
+const olderThanAnyPartition = 1
+
 // Records returns what is to be stored for all jobs that are known and have not ended, by id.
 // Each counts as older than any partition, so that its owner looks at the machines first; a
 // record without an envelope cannot say so.
@@ -22,7 +26,7 @@
 		}
 		rec, err := wire.WithFields(j.Record, j.Record.Unknown)
 		if err == nil && o.view.FeatureOpen(feature.Envelope) {
-			rec, err = wire.Wrap(rec, o.view.Lease.Generation, 1)
+			rec, err = wire.Wrap(rec, o.view.Lease.Generation, olderThanAnyPartition)
 		}
 		if err != nil {
 			o.log.Error("cannot encode job record", "job", id, "err", err)
--- a/internal/core/quota/quota.go
+++ b/internal/core/quota/quota.go
@@ -4,7 +4,7 @@
 //
 //   - Only the leader raises a share, by what is in no other share.
 //   - Only its holder lowers one. It reserves no more than a lower amount, which covers
-//     its tasks that are not surely gone, and keeps to that from then on. The leader
+//     its tasks that may still run, and keeps to that from then on. The leader
 //     lowers the share in the very write that acknowledges the renewal with that
 //     reservation, and may give the difference to others in the same write.
 //   - The share of a controller that has ended goes to its successor, with the machines
@@ -32,7 +32,7 @@
 
 // Need is what one controller's tasks of a team use and ask for, of one resource.
 type Need struct {
-	InUse      float64 // of tasks that are not surely gone
+	InUse      float64 // of tasks that may still run
 	Wanted     float64 // InUse and what waits
 	MinToStart float64 // the least with which something that waits can start; 0: unknown
 }
--- a/internal/core/sched/sched.go
+++ b/internal/core/sched/sched.go
@@ -65,8 +65,8 @@
 	ID        string
 }
 
-// Before orders ready jobs: by job priority, then teams within their
-// guarantee, then the look-ahead rating, then arrival.
+// Before orders ready jobs by priority, then teams within their guarantee, look-ahead rating,
+// latest time to start, arrival and id.
 func (a Ready) Before(b Ready) bool {
 	switch {
 	case a.Rank != b.Rank:
--- a/internal/core/servicereport/report.go
+++ b/internal/core/servicereport/report.go
@@ -154,6 +154,9 @@
 // minServed is the part of a group that has to be served for the day not to fail.
 const minServed = 0.5
 
+// largestPart is the part of a class's jobs that count as its largest.
+const largestPart = 0.1
+
 // Rows returns a row for each group, teams first.
 func (s *Summary) Rows() []Row {
 	var out []Row
@@ -167,7 +170,7 @@
 			top := s.largest(g)
 			row.Largest, row.LargestShare, row.LargestLate = top.Accepted, share(top), top.StartedLate
 			switch {
-			case row.LargestShare < 0.5:
+			case row.LargestShare < minServed:
 				row.Failed = "less than half of the largest was served"
 			case top.StartedLate > 0:
 				row.Failed = "one of the largest began late"
@@ -193,7 +196,7 @@
 	buckets := slices.Sorted(maps.Keys(s.sizes[g]))
 	slices.Reverse(buckets)
 	for _, b := range buckets {
-		if top.Accepted > 0 && 10*top.Accepted >= s.counts[g].Accepted {
+		if top.Accepted > 0 && float64(top.Accepted) >= largestPart*float64(s.counts[g].Accepted) {
 			break
 		}
 		top.add(*s.sizes[g][b])
--- a/internal/edge/httpapi/httpapi.go
+++ b/internal/edge/httpapi/httpapi.go
@@ -69,7 +69,8 @@
 	return mux
 }
 
-// read reads a body within the limit.
+// readBody returns the body of a request. If it is too large or cut short it writes the
+// refusal and reports false.
 func readBody(w http.ResponseWriter, r *http.Request) ([]byte, bool) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, wire.MaxBody))
 	if err == nil {
--- a/internal/edge/node/sockets.go
+++ b/internal/edge/node/sockets.go
@@ -140,7 +140,7 @@
 	}
 }
 
-// beyond reports whether all connections take more than a part of the limit.
+// above reports whether all connections take more than a part of the limit.
 func (s *Sockets) above(part float64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/edge/node/usage.go
+++ b/internal/edge/node/usage.go
@@ -12,24 +12,24 @@
 
 // usage counts what a controller uses of limited resources between two logs.
 type usage struct {
-	since                   time.Time
-	reads, changes, calls   int // of the state service and the cloud
-	commands, busiestSecond int // direct commands; most events in a second
-	second                  time.Time
-	events                  int
-	closedIdle              int // idle connections closed to make room, at the last log
+	since                                   time.Time
+	stateRequests, stateChanges, cloudCalls int // of the state service and the cloud
+	commands, busiestSecond                 int // direct commands; most events in a second
+	second                                  time.Time
+	events                                  int
+	closedIdle                              int // idle connections closed to make room, at the last log
 }
 
 // countEffect counts an effect that uses a limited resource.
 func (u *usage) countEffect(e eventloop.Effect) {
 	switch e := e.(type) {
 	case eventloop.StateTxn:
-		u.reads++
-		u.changes += len(e.Txn.Then)
+		u.stateRequests++
+		u.stateChanges += len(e.Txn.Then)
 	case eventloop.StateGet, eventloop.StateRange, eventloop.StateWatch:
-		u.reads++
+		u.stateRequests++
 	case eventloop.CloudTypes, eventloop.CloudCreate, eventloop.CloudDelete, eventloop.CloudList:
-		u.calls++
+		u.cloudCalls++
 	case eventloop.WorkerCommands:
 		u.commands++
 	}
@@ -61,7 +61,7 @@
 	sockets := n.sockets.counts()
 	n.log.Info("usage", "machines", n.core.MachineCount(), "connections", sockets.open, "stale_connections", sockets.stale, "direct_connections", sockets.direct,
 		"connections_closed", sockets.closedIdle-u.closedIdle, "memory_mb", sample[0].Value.Uint64()>>20,
-		"state_requests_per_s", rate(u.reads), "state_changes_per_s", rate(u.changes), "cloud_calls_per_s", rate(u.calls),
+		"state_requests_per_s", rate(u.stateRequests), "state_changes_per_s", rate(u.stateChanges), "cloud_calls_per_s", rate(u.cloudCalls),
 		"commands_per_s", rate(u.commands), "busiest_second_events", max(u.busiestSecond, u.events))
 	*u = usage{since: now, second: now, closedIdle: sockets.closedIdle}
 }
--- a/internal/edge/statestore/statestore.go
+++ b/internal/edge/statestore/statestore.go
@@ -28,7 +28,7 @@
 // maxBudgetWait bounds how long a call waits for its part of the limits.
 const maxBudgetWait = 1500 * time.Millisecond
 
-// maxAnswer bounds what is read of one answer; watches have no limit of
+// maxAnswerBytes bounds what is read of one answer; watches have no limit of
 // their own, so this one only guards the memory.
 const maxAnswerBytes = 16 << 20
 
--- a/internal/upgrade/plan.go
+++ b/internal/upgrade/plan.go
@@ -73,7 +73,7 @@
 func (p *Status) CannotFollow(l feature.Level) []string {
 	var out []string
 	for _, c := range p.Controllers {
-		m := feature.Member{Name: c.Name, Reachable: true, Process: max(c.LeaseIncarnation, c.Incarnation), LeaseIncarnation: c.LeaseIncarnation,
+		m := feature.Member{Name: c.Name, Reachable: true, Incarnation: max(c.LeaseIncarnation, c.Incarnation), LeaseIncarnation: c.LeaseIncarnation,
 			Announced: feature.Announcement{Incarnation: c.Incarnation, Version: c.Version, Levels: feature.Range{Oldest: feature.Level(c.OldestLevel), Newest: feature.Level(c.NewestLevel)}}}
 		if why := m.BlockerFor(l); why != "" {
 			out = append(out, c.Name+" "+why)
--- a/internal/upgrade/upgrade.go
+++ b/internal/upgrade/upgrade.go
@@ -25,7 +25,7 @@
 type Store interface {
 	Get(ctx context.Context, key string) (eventloop.Outcome, wire.Pair, error)
 	Range(ctx context.Context, prefix, after string, most int) (eventloop.Outcome, wire.Page, error)
-	Txn(ctx context.Context, t wire.Txn, control bool) (eventloop.Outcome, wire.TxnAnswer, error)
+	Txn(ctx context.Context, t wire.Txn, leaseBudget bool) (eventloop.Outcome, wire.TxnAnswer, error)
 }
 
 // Controller is what is stored of one controller of the settings.
@@ -81,9 +81,9 @@
 	if err != nil {
 		return nil, err
 	}
-	p := &Status{Level: feature.Level(rec.Level), Confirmed: feature.Level(rec.Confirmed), Generation: rec.Generation,
+	out := &Status{Level: feature.Level(rec.Level), Confirmed: feature.Level(rec.Confirmed), Generation: rec.Generation,
 		Form: max(1, rec.Form), Term: rec.Term, Sequence: rec.Sequence}
-	records, err := p.readRecords(ctx, store)
+	records, err := out.readRecords(ctx, store)
 	if err != nil {
 		return nil, err
 	}
@@ -93,23 +93,23 @@
 	}
 	slices.Sort(names)
 	for _, name := range names {
-		b, r := rec.Blocks[name], records[name]
-		c := Controller{Name: name, Leads: name == rec.Leader, Version: r.Version, OldestLevel: r.OldestLevel, NewestLevel: r.NewestLevel, SeenLevel: r.SeenLevel,
-			Ready: r.Ready, Incarnation: r.Incarnation, LeaseIncarnation: b.Incarnation, Renewal: b.Renewal,
-			Machines: len(b.Machines) + len(b.Unreconciled), UnreconciledMachines: r.UnreconciledMachines, OutdatedRecords: r.OutdatedRecords}
-		if r.UpdatedAtMs > 0 {
-			c.UpdatedAt = time.UnixMilli(r.UpdatedAtMs).UTC()
+		block, record := rec.Blocks[name], records[name]
+		status := Controller{Name: name, Leads: name == rec.Leader, Version: record.Version, OldestLevel: record.OldestLevel, NewestLevel: record.NewestLevel, SeenLevel: record.SeenLevel,
+			Ready: record.Ready, Incarnation: record.Incarnation, LeaseIncarnation: block.Incarnation, Renewal: block.Renewal,
+			Machines: len(block.Machines) + len(block.Unreconciled), UnreconciledMachines: record.UnreconciledMachines, OutdatedRecords: record.OutdatedRecords}
+		if record.UpdatedAtMs > 0 {
+			status.UpdatedAt = time.UnixMilli(record.UpdatedAtMs).UTC()
 		}
-		if c.Leads {
-			p.LevelBlockers = r.LevelBlockers
-			if c.BeforeLevels() {
-				p.LevelBlockers = []string{fmt.Sprintf("%s leads in a version from before levels, which raises none", name)}
+		if status.Leads {
+			out.LevelBlockers = record.LevelBlockers
+			if status.BeforeLevels() {
+				out.LevelBlockers = []string{fmt.Sprintf("%s leads in a version from before levels, which raises none", name)}
 			}
 		}
-		p.OutdatedRecords += r.OutdatedRecords
-		p.Controllers = append(p.Controllers, c)
+		out.OutdatedRecords += record.OutdatedRecords
+		out.Controllers = append(out.Controllers, status)
 	}
-	return p, nil
+	return out, nil
 }
 
 // BeforeLevels reports whether the controller's process is of a version from before
@@ -118,6 +118,13 @@
 	return c.LeaseIncarnation != 0 && c.Incarnation != c.LeaseIncarnation
 }
 
+const (
+	// maxPageReads is how often the pages are read again when they do not match the value.
+	maxPageReads = 3
+	// rangePageSize is how many keys a page of a range read holds.
+	rangePageSize = 500
+)
+
 // readLease reads the lease value with its pages.
 func readLease(ctx context.Context, store Store) (wire.LeaseRecord, error) {
 	var pages leasevalue.PageTable
@@ -130,7 +137,7 @@
 			return wire.LeaseRecord{}, unavailable(outcome, err)
 		}
 		rec, err := pages.Read(pair.Value)
-		if !errors.Is(err, leasevalue.ErrPageMissing) || try == 3 {
+		if !errors.Is(err, leasevalue.ErrPageMissing) || try == maxPageReads {
 			return rec, err
 		}
 		err = forEachKey(ctx, store, leasevalue.PagePrefix, func(p wire.Pair) error {
@@ -179,7 +186,7 @@
 func forEachKey(ctx context.Context, store Store, prefix string, f func(wire.Pair) error) error {
 	after := ""
 	for {
-		outcome, page, err := store.Range(ctx, prefix, after, 500)
+		outcome, page, err := store.Range(ctx, prefix, after, rangePageSize)
 		if outcome != eventloop.Succeeded {
 			return unavailable(outcome, err)
 		}
--- a/internal/wire/envelope.go
+++ b/internal/wire/envelope.go
@@ -42,9 +42,9 @@
 }
 
 // Wrap puts a value into an envelope.
-func Wrap(v any, generation, born uint64) (Envelope, error) {
+func Wrap(v any, generation, firstVersion uint64) (Envelope, error) {
 	raw, err := Encode(v)
-	return Envelope{Form: EnvelopeForm, Generation: generation, FirstVersion: born, Value: raw}, err
+	return Envelope{Form: EnvelopeForm, Generation: generation, FirstVersion: firstVersion, Value: raw}, err
 }
 
 // Unwrap takes a stored value out of its envelope. A value of an earlier version
--- a/internal/wire/nameset.go
+++ b/internal/wire/nameset.go
@@ -25,9 +25,9 @@
 // maxDigits keeps numbers within an int64.
 const maxDigits = 18
 
-// form parts a name into letters and a number. Numbers with more digits than
+// splitName parts a name into letters and a number. Numbers with more digits than
 // fit are left in the letters, where they are safe.
-func form(name string) (letters string, digits int, number uint64) {
+func splitName(name string) (letters string, digits int, number uint64) {
 	i := len(name)
 	for i > 0 && name[i-1] >= '0' && name[i-1] <= '9' && len(name)-i < maxDigits {
 		i--
@@ -55,7 +55,7 @@
 	forms := map[key][]uint64{}
 	var order []key
 	for _, name := range names {
-		letters, digits, number := form(name)
+		letters, digits, number := splitName(name)
 		k := key{letters, digits}
 		if forms[k] == nil {
 			order = append(order, k)
