--- a/internal/core/leader/autoscaler_test.go
+++ b/internal/core/leader/autoscaler_test.go
@@ -10,90 +10,105 @@
 	"fawncove/internal/wire"
 )
 
-// TestMachineThatIsBackIsKept: a machine falls silent and is to be returned, but the cloud
-// is out. It reports again, and gets work, before the cloud is back: it may not be
-// returned then. One whose return had no answer may be gone any moment, and is; so is
-// one that stays silent.
-func TestMachineThatIsBackIsKept(t *testing.T) {
+// leaseWithInstance returns the record of a lease held by n0, with an instance in the
+// block of n1.
+func leaseWithInstance() wire.LeaseRecord {
+	return wire.LeaseRecord{Term: 3, Leader: "n0", Incarnation: 7,
+		Blocks: map[string]wire.Block{
+			"n0": {Grant: 3 << 16, Incarnation: 7},
+			"n1": {Grant: 3<<16 + 1, Incarnation: 9, Machines: []string{"host-000001"}},
+		}}
+}
+
+// TestRecoveredInstanceIsNotDeleted guards against deleting an instance that has
+// resumed its heartbeats: it fell silent and was to be deleted, but the cloud was
+// unavailable, and it reports again, and gets work, before the cloud is back. An
+// instance whose deletion went unanswered may be gone at any moment and is deleted;
+// so is one that stays silent.
+func TestRecoveredInstanceIsNotDeleted(t *testing.T) {
 	for _, c := range []struct {
-		name     string
-		outcome  eventloop.Outcome // of the first try
-		back     bool
-		returned bool
+		name      string
+		outcome   eventloop.Outcome // of the first deletion call
+		recovered bool              // heartbeats resume before the second call
+		want      bool              // deleted by the second call
 	}{
-		{"out, and it is back", eventloop.Unavailable, true, false},
-		{"too many requests, and it is back", eventloop.Throttled, true, false},
-		{"no answer, and it is back", eventloop.NoAnswer, true, true},
-		{"out, and it stays silent", eventloop.Unavailable, false, true},
+		{"cloud unavailable, instance recovered", eventloop.Unavailable, true, false},
+		{"call throttled, instance recovered", eventloop.Throttled, true, false},
+		{"call unanswered, instance recovered", eventloop.NoAnswer, true, true},
+		{"cloud unavailable, instance stays silent", eventloop.Unavailable, false, true},
 	} {
-		l := newLeader(nil, wire.LeaseRecord{Term: 3, Leader: "n0", Incarnation: 7,
-			Blocks: map[string]wire.Block{"n0": {Grant: 3 << 16, Incarnation: 7}, "n1": {Grant: 3<<16 + 1, Incarnation: 9, Machines: []string{"host-000001"}}}})
-		start := l.loop.Now
-		number := uint64(0)
-		// run has the leader hear the holder and act, and tells what it returns.
-		run := func(after time.Duration, lost bool, outcome eventloop.Outcome) (returned bool) {
-			l.loop.Begin(start.Add(after))
-			l.PublishStored(l.loop.Now)
-			number++
-			r := &peerpb.Renewal{Node: "n1", Incarnation: 9, Number: number}
-			if lost {
-				r.SilentMachines = wire.PackNames([]string{"host-000001"})
-			}
-			l.HandleRenewal(r)
-			l.RunAutoscaler()
-			for _, e := range l.loop.Effects() {
-				if e, ok := e.(eventloop.CloudDelete); ok {
-					returned = slices.Contains(e.Names, "host-000001")
-					l.loop.Complete(eventloop.Completion{ID: e.ID, Outcome: outcome})
+		t.Run(c.name, func(t *testing.T) {
+			l := newLeader(nil, leaseWithInstance())
+			start := l.loop.Now
+			number := uint64(0)
+			// deletes reports whether the leader deletes the instance after the holder's
+			// next renewal; the deletion call ends with the given outcome.
+			deletes := func(after time.Duration, silent bool, outcome eventloop.Outcome) (deleted bool) {
+				l.loop.Begin(start.Add(after))
+				l.PublishStored(l.loop.Now)
+				number++
+				renewal := &peerpb.Renewal{Node: "n1", Incarnation: 9, Number: number}
+				if silent {
+					renewal.SilentMachines = wire.PackNames([]string{"host-000001"})
 				}
+				l.HandleRenewal(renewal)
+				l.RunAutoscaler()
+				for _, e := range l.loop.Effects() {
+					if e, ok := e.(eventloop.CloudDelete); ok {
+						deleted = slices.Contains(e.Names, "host-000001")
+						l.loop.Complete(eventloop.Completion{ID: e.ID, Outcome: outcome})
+					}
+				}
+				return deleted
+			}
+			if !deletes(time.Second, true, c.outcome) {
+				t.Fatal("silent instance deleted = false, want true")
 			}
-			return returned
-		}
-		if !run(time.Second, true, c.outcome) {
-			t.Fatalf("%s: not returned when it was lost", c.name)
-		}
-		if got := run(3*time.Second, !c.back, eventloop.Succeeded); got != c.returned {
-			t.Errorf("%s: returned two seconds later: %v, want %v", c.name, got, c.returned)
-		}
+			if got := deletes(3*time.Second, !c.recovered, eventloop.Succeeded); got != c.want {
+				t.Errorf("instance deleted two seconds later = %v, want %v", got, c.want)
+			}
+		})
 	}
 }
 
-// TestRecallOfABusyMachineIsWithdrawn: a machine that stands empty is recalled, and gets a
-// task before its holder knows. Were it still recalled, nothing else could use its room
-// until that task ends. One that stays empty, or was recalled as faulty, stays recalled.
-func TestRecallOfABusyMachineIsWithdrawn(t *testing.T) {
+// TestDrainOfBusyInstanceIsWithdrawn guards against draining an instance that is in use
+// again: it was idle and is drained, and gets a task before its holder learns of that.
+// Still draining, it could take no other task until that one ends. An instance that
+// stays idle, or is drained because it is quarantined, stays draining.
+func TestDrainOfBusyInstanceIsWithdrawn(t *testing.T) {
 	for _, c := range []struct {
 		name         string
-		first, later *peerpb.MachineUse
-		stays        bool
+		first, later *peerpb.MachineUse // as the holder reports the instance
+		wantDraining bool
 	}{
 		{"in use again", &peerpb.MachineUse{IdleS: 60}, nil, false},
-		{"still empty", &peerpb.MachineUse{IdleS: 60}, &peerpb.MachineUse{IdleS: 77}, true},
-		{"faulty", &peerpb.MachineUse{Quarantined: true}, nil, true},
+		{"still idle", &peerpb.MachineUse{IdleS: 60}, &peerpb.MachineUse{IdleS: 77}, true},
+		{"quarantined", &peerpb.MachineUse{Quarantined: true}, nil, true},
 	} {
-		l := newLeader(nil, wire.LeaseRecord{Term: 3, Leader: "n0", Incarnation: 7,
-			Blocks: map[string]wire.Block{"n0": {Grant: 3 << 16, Incarnation: 7}, "n1": {Grant: 3<<16 + 1, Incarnation: 9, Machines: []string{"host-000001"}}}})
-		start := l.loop.Now
-		for i, u := range []*peerpb.MachineUse{c.first, c.later} {
-			l.loop.Begin(start.Add(time.Duration(i)*(maxDrainInUse+2*time.Second) + time.Second))
-			l.PublishStored(l.loop.Now)
-			r := &peerpb.Renewal{Node: "n1", Incarnation: 9, Number: uint64(1 + i)}
-			if u != nil {
-				u.Name = "host-000001"
-				r.MachineUse = append(r.MachineUse, u)
+		t.Run(c.name, func(t *testing.T) {
+			l := newLeader(nil, leaseWithInstance())
+			start := l.loop.Now
+			for i, use := range []*peerpb.MachineUse{c.first, c.later} {
+				l.loop.Begin(start.Add(time.Duration(i)*(maxDrainInUse+2*time.Second) + time.Second))
+				l.PublishStored(l.loop.Now)
+				renewal := &peerpb.Renewal{Node: "n1", Incarnation: 9, Number: uint64(1 + i)}
+				if use != nil {
+					use.Name = "host-000001"
+					renewal.MachineUse = append(renewal.MachineUse, use)
+				}
+				l.HandleRenewal(renewal)
+				l.RunAutoscaler()
+				if i == 0 && !l.draining["host-000001"] {
+					t.Fatal("idle instance draining = false, want true")
+				}
+			}
+			if got := l.draining["host-000001"]; got != c.wantDraining {
+				t.Errorf("instance draining = %v, want %v", got, c.wantDraining)
 			}
-			l.HandleRenewal(r)
-			l.RunAutoscaler()
-			if i == 0 && !l.draining["host-000001"] {
-				t.Fatalf("%s: not recalled", c.name)
+			rec, _ := l.Publish(&peerpb.Renewal{Node: "n0", Incarnation: 7, Number: 1})
+			if got := len(rec.Blocks["n1"].Draining) > 0; got != c.wantDraining {
+				t.Errorf("instance draining in the lease record = %v, want %v", got, c.wantDraining)
 			}
-		}
-		if got := l.draining["host-000001"]; got != c.stays {
-			t.Errorf("%s: recalled %v, want %v", c.name, got, c.stays)
-		}
-		rec, _ := l.Publish(&peerpb.Renewal{Node: "n0", Incarnation: 7, Number: 1})
-		if got := len(rec.Blocks["n1"].Draining) > 0; got != c.stays {
-			t.Errorf("%s: its holder is told so: %v, want %v", c.name, got, c.stays)
-		}
+		})
 	}
 }
