--- a/internal/core/leader/autoscaler_test.go
+++ b/internal/core/leader/autoscaler_test.go
@@ -99,7 +99,7 @@
 				l.HandleRenewal(renewal)
 				l.RunAutoscaler()
 				if i == 0 && !l.draining["host-000001"] {
-					t.Fatal("idle instance draining = false, want true")
+					t.Fatal("instance draining = false, want true")
 				}
 			}
 			if got := l.draining["host-000001"]; got != c.wantDraining {
