--- a/internal/core/sched/arrivals_test.go
+++ b/internal/core/sched/arrivals_test.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// TestInflow expects work to count for a minute, and not for longer.
-func TestInflow(t *testing.T) {
-	var f ArrivalCounter
+// TestArrivalRateForgetsOldWork guards against work that counts for longer than a minute.
+func TestArrivalRateForgetsOldWork(t *testing.T) {
+	var arrivals ArrivalCounter
 	now := time.Date(2026, 3, 1, 6, 0, 0, 0, time.UTC)
-	f.Add(now.Add(-2*time.Minute), 6000)
-	f.Add(now.Add(-30*time.Second), 600)
-	f.Add(now, 60)
-	if got := f.Rate(now); got != 11 {
-		t.Errorf("%v processors, want 11", got)
+	arrivals.Add(now.Add(-2*time.Minute), 6000)
+	arrivals.Add(now.Add(-30*time.Second), 600)
+	arrivals.Add(now, 60)
+	if got := arrivals.Rate(now); got != 11 {
+		t.Errorf("Rate = %v processors, want 11", got)
 	}
 }
