--- a/internal/edge/client/adaptivetimeout_test.go
+++ b/internal/edge/client/adaptivetimeout_test.go
@@ -5,42 +5,43 @@
 	"time"
 )
 
-// TestPatienceFollowsTheAnswers: quick answers that are lost now and then hold up for
-// the least time only; a service that has become slow is waited for, at the latest
-// after two calls in a row, and not for longer than users wait.
-func TestPatienceFollowsTheAnswers(t *testing.T) {
-	p := NewAdaptiveTimeout(500*time.Millisecond, 2*time.Second)
-	if got := p.current(); got != 2*time.Second {
-		t.Errorf("before the first answer: %v", got)
+// TestTimeoutFollowsAnswerTimes guards against a timeout that blocks callers on lost answers
+// or gives up on a slow service: with quick answers, some of them lost, the timeout is its
+// minimum; when the service has become slow it rises, after two calls in a row at the
+// latest, and never above its maximum.
+func TestTimeoutFollowsAnswerTimes(t *testing.T) {
+	timeout := NewAdaptiveTimeout(500*time.Millisecond, 2*time.Second)
+	if got := timeout.current(); got != 2*time.Second {
+		t.Errorf("timeout before the first answer = %v, want 2s", got)
 	}
 	for i := range 50 {
-		p.recordAnswer(time.Duration(2+i%7) * time.Millisecond)
+		timeout.recordAnswer(time.Duration(2+i%7) * time.Millisecond)
 	}
-	p.recordAnswer(300 * time.Millisecond) // as happens now and then
-	if got := p.current(); got != 500*time.Millisecond {
-		t.Errorf("quick answers: %v", got)
+	timeout.recordAnswer(300 * time.Millisecond) // a rare slow answer
+	if got := timeout.current(); got != 500*time.Millisecond {
+		t.Errorf("timeout after quick answers = %v, want 500ms", got)
 	}
-	for range 10 { // that were under way at once
-		p.recordTimeout(500 * time.Millisecond)
+	for range 10 { // of concurrent calls
+		timeout.recordTimeout(500 * time.Millisecond)
 	}
-	if got := p.current(); got != time.Second {
-		t.Errorf("calls without an answer, at once: %v", got)
+	if got := timeout.current(); got != time.Second {
+		t.Errorf("timeout after concurrent calls without an answer = %v, want 1s", got)
 	}
-	p.recordTimeout(time.Second)
-	p.recordTimeout(2 * time.Second)
-	if got := p.current(); got != 2*time.Second {
-		t.Errorf("calls without an answer, one after the other: %v", got)
+	timeout.recordTimeout(time.Second)
+	timeout.recordTimeout(2 * time.Second)
+	if got := timeout.current(); got != 2*time.Second {
+		t.Errorf("timeout after calls in a row without an answer = %v, want 2s", got)
 	}
 	for range 20 {
-		p.recordAnswer(1600 * time.Millisecond)
-		if got := p.current(); got < 1650*time.Millisecond || got > 2*time.Second {
-			t.Errorf("slow answers: %v", got)
+		timeout.recordAnswer(1600 * time.Millisecond)
+		if got := timeout.current(); got < 1650*time.Millisecond || got > 2*time.Second {
+			t.Errorf("timeout after slow answers = %v, want 1.65s to 2s", got)
 		}
 	}
 	for range 60 {
-		p.recordAnswer(5 * time.Millisecond)
+		timeout.recordAnswer(5 * time.Millisecond)
 	}
-	if got := p.current(); got != 500*time.Millisecond {
-		t.Errorf("quick again: %v", got)
+	if got := timeout.current(); got != 500*time.Millisecond {
+		t.Errorf("timeout after quick answers again = %v, want 500ms", got)
 	}
 }
