--- a/internal/edge/peer/peer_test.go
+++ b/internal/edge/peer/peer_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"bytes"
-	"context"
 	"io"
 	"log/slog"
 	"net"
@@ -12,68 +11,68 @@
 	"fawncove/internal/peerpb"
 )
 
-// TestLink sends frames over a loopback socket, with nonsense from another
-// connection in between.
-func TestLink(t *testing.T) {
-	ctx, cancel := context.WithCancel(context.Background())
-	defer cancel()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+// TestMalformedConnectionKeepsLinkOpen guards against a malformed frame of one connection
+// that stops another: frames are sent over a loopback socket while another connection sends
+// bytes that are no frame.
+func TestMalformedConnectionKeepsLinkOpen(t *testing.T) {
+	ctx := t.Context()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	got := make(chan *peerpb.Frame, 8)
-	go Serve(ctx, l, slog.New(slog.NewTextHandler(io.Discard, nil)), func(f *peerpb.Frame) { got <- f })
-	bad, err := net.Dial("tcp", l.Addr().String())
+	frames := make(chan *peerpb.Frame, 8)
+	go Serve(ctx, listener, slog.New(slog.NewTextHandler(io.Discard, nil)), func(f *peerpb.Frame) { frames <- f })
+	malformed, err := net.Dial("tcp", listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer bad.Close()
-	if _, err := bad.Write([]byte("\xff\xff\xff\xffnonsense")); err != nil {
+	t.Cleanup(func() { malformed.Close() })
+	if _, err := malformed.Write([]byte("\xff\xff\xff\xffnonsense")); err != nil {
 		t.Fatal(err)
 	}
-	link := Dial(ctx, l.Addr().String())
+	link := Dial(ctx, listener.Addr().String())
 	for i := range uint64(3) {
 		link.Send(&peerpb.Frame{From: "n1", Incarnation: i, Renewal: &peerpb.Renewal{Node: "n1", Waiting: map[string]int32{"s4": 2}}})
 	}
 	for i := range uint64(3) {
 		select {
-		case f := <-got:
+		case f := <-frames:
 			if f.GetFrom() != "n1" || f.GetIncarnation() != i || f.GetRenewal().GetWaiting()["s4"] != 2 {
-				t.Errorf("frame %d: %v", i, f)
+				t.Errorf("frame %d = %v, want incarnation %d from n1 with 2 waiting on s4", i, f, i)
 			}
 		case <-time.After(5 * time.Second):
-			t.Fatal("no frame")
+			t.Fatalf("frame %d: not received, want it within 5 s", i)
 		}
 	}
 }
 
-// TestDeadConnection is what a cut that held packets back can leave behind: a
-// connection that takes writes while nobody reads. It must not be written to
-// for ever.
-func TestDeadConnection(t *testing.T) {
-	here, there := net.Pipe()
-	defer there.Close()
+// TestUnacknowledgedConnectionIsDead guards against writing forever to a connection that
+// nobody reads, as a network partition that delays packets can leave behind.
+func TestUnacknowledgedConnectionIsDead(t *testing.T) {
+	local, remote := net.Pipe()
+	t.Cleanup(func() { remote.Close() })
 	start := time.Now()
-	o := &connection{Conn: here, lastProgress: start}
-	if o.sent = 1; o.isDead(start.Add(ackTimeout)) {
-		t.Error("given up before an answer can be expected")
+	conn := &connection{Conn: local, lastProgress: start}
+	if conn.sent = 1; conn.isDead(start.Add(ackTimeout)) {
+		t.Error("isDead at the acknowledgement timeout = true, want false")
 	}
-	if o.sent = 2; !o.isDead(start.Add(ackTimeout + time.Millisecond)) {
-		t.Error("frames without an answer, and the connection is kept")
+	if conn.sent = 2; !conn.isDead(start.Add(ackTimeout + time.Millisecond)) {
+		t.Error("isDead with an overdue acknowledgement = false, want true")
 	}
-	if o.acks.Store(1); o.isDead(start.Add(2 * ackTimeout)) {
-		t.Error("an answer came, and the connection is given up")
+	if conn.acks.Store(1); conn.isDead(start.Add(2 * ackTimeout)) {
+		t.Error("isDead with one frame acknowledged = true, want false")
 	}
-	if o.acks.Store(2); o.isDead(start.Add(time.Hour)) {
-		t.Error("given up though all is answered")
+	if conn.acks.Store(2); conn.isDead(start.Add(time.Hour)) {
+		t.Error("isDead with all frames acknowledged = true, want false")
 	}
-	if there.Close(); !func() bool { o.countAcks(); return o.isDead(start.Add(time.Hour)) }() {
-		t.Error("the other end has closed it, and it is kept")
+	if remote.Close(); !func() bool { conn.countAcks(); return conn.isDead(start.Add(time.Hour)) }() {
+		t.Error("isDead after the remote end has closed = false, want true")
 	}
 }
 
+// TestReadRefusesLargeFrames guards against allocating memory for a frame of any claimed size.
 func TestReadRefusesLargeFrames(t *testing.T) {
 	if _, err := Read(bytes.NewReader([]byte{0x7f, 0, 0, 0, 1})); err == nil {
-		t.Error("a frame of two gigabytes is accepted")
+		t.Error("Read of a frame of two gigabytes: error = nil, want an error")
 	}
 }
