--- a/internal/edge/statestore/statestore_test.go
+++ b/internal/edge/statestore/statestore_test.go
@@ -15,8 +15,9 @@
 	"fawncove/internal/wire"
 )
 
-// TestCalls speaks to a stand-in over a loopback socket.
-func TestCalls(t *testing.T) {
+// TestCallsMapResponsesToOutcomes guards against a response that is taken for another
+// outcome: each call is answered by a fake service over a loopback socket.
+func TestCallsMapResponsesToOutcomes(t *testing.T) {
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		var body any
 		switch {
@@ -35,57 +36,57 @@
 		b, _ := wire.Encode(body)
 		_, _ = w.Write(b)
 	}))
-	defer s.Close()
+	t.Cleanup(s.Close)
 	c := New(strings.TrimPrefix(s.URL, "http://"), 100, 100, 1)
-	ctx := context.Background()
+	ctx := t.Context()
 	if outcome, p, err := c.Get(ctx, "a/b"); outcome != eventloop.Succeeded || p.Version != 412 || len(p.Value) == 0 || err != nil {
-		t.Errorf("get: %s %+v %v", outcome, p, err)
+		t.Errorf("Get = %s, %+v, %v, want success with version 412 and a value", outcome, p, err)
 	}
 	if outcome, _, _ := c.Get(ctx, "none"); outcome != eventloop.NotFound {
-		t.Errorf("get of nothing: %s", outcome)
+		t.Errorf("Get of an unknown key = %s, want %s", outcome, eventloop.NotFound)
 	}
 	if outcome, p, err := c.Range(ctx, "c/", "c/7", 10); outcome != eventloop.Succeeded || !p.More || p.Revision != 9 || err != nil {
-		t.Errorf("range: %s %+v %v", outcome, p, err)
+		t.Errorf("Range = %s, %+v, %v, want success with more and revision 9", outcome, p, err)
 	}
 	if outcome, a, err := c.Txn(ctx, wire.Txn{}, false); outcome != eventloop.Conflict || a.Failed[0] != "a/b" || err != nil {
-		t.Errorf("txn: %s %+v %v", outcome, a, err)
+		t.Errorf("Txn = %s, %+v, %v, want a conflict on a/b", outcome, a, err)
 	}
 	if outcome, _, _ := c.Watch(ctx, "c/", 4, 50*time.Millisecond); outcome != eventloop.Compacted {
-		t.Errorf("watch: %s", outcome)
+		t.Errorf("Watch = %s, want %s", outcome, eventloop.Compacted)
 	}
 	s.Close()
 	if outcome, _, err := c.Get(ctx, "a/b"); outcome != eventloop.NoAnswer || err == nil {
-		t.Errorf("without a service: %s %v", outcome, err)
+		t.Errorf("Get without a service = %s, %v, want %s and an error", outcome, err, eventloop.NoAnswer)
 	}
 }
 
-// TestBudgetTakesAllOrNothing guards against calls that take a part of the
-// write budget, give up, and so starve the others.
+// TestBudgetTakesAllOrNothing guards against calls that take a part of the write budget, give
+// up, and so starve the others.
 func TestBudgetTakesAllOrNothing(t *testing.T) {
 	b := budget{rate.NewLimiter(1000, 10), rate.NewLimiter(0.001, 3)}
-	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Millisecond)
-	defer cancel()
+	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Millisecond)
+	t.Cleanup(cancel)
 	if err := b.wait(ctx, 2); err != nil {
 		t.Fatal(err)
 	}
-	// One is left: three do not come in time, and must leave it there.
+	// One is left: a call for three times out and must not take it.
 	if err := b.wait(ctx, 3); err == nil {
-		t.Fatal("three changes at once, with one left")
+		t.Fatal("three writes with a budget of one: error = nil, want an error")
 	}
 	if !b.writes.Allow() {
-		t.Error("the call that gave up has used the budget")
+		t.Error("write after the failed call is allowed = false, want true")
 	}
 }
 
-// TestLostAnswersHoldUpNobody: whose answer is lost is told soon, and calls behind
-// many of these go out all the same.
-func TestLostAnswersHoldUpNobody(t *testing.T) {
+// TestLostAnswersDoNotBlockCalls guards against lost answers that block the client: a call
+// whose answer is lost fails soon, and many of these do not delay other calls.
+func TestLostAnswersDoNotBlockCalls(t *testing.T) {
 	const calls = 40
-	came, lost := make(chan bool, calls), make(chan struct{})
+	arrived, testDone := make(chan bool, calls), make(chan struct{})
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/txn" {
-			came <- true
-			<-lost
+			arrived <- true
+			<-testDone
 		}
 		b, err := wire.Encode(wire.Pair{Key: "a", Value: []byte{0x01}, Version: 3})
 		if err != nil {
@@ -94,29 +95,29 @@
 		_, _ = w.Write(b)
 	}))
 	defer s.Close()
-	defer close(lost)
+	defer close(testDone)
 	c := New(strings.TrimPrefix(s.URL, "http://"), 1000, 1000, 1)
 	c.answerTimeout = client.NewAdaptiveTimeout(20*time.Millisecond, callTimeout)
 	if outcome, _, err := c.Get(t.Context(), "a"); outcome != eventloop.Succeeded || err != nil {
-		t.Fatalf("get: %s %v", outcome, err)
+		t.Fatalf("Get = %s, %v, want %s", outcome, err, eventloop.Succeeded)
 	}
-	began := time.Now()
+	start := time.Now()
 	if outcome, _, err := c.Txn(t.Context(), wire.Txn{}, false); outcome != eventloop.NoAnswer || err == nil {
-		t.Errorf("a lost answer: %s %v", outcome, err)
+		t.Errorf("Txn with a lost answer = %s, %v, want %s and an error", outcome, err, eventloop.NoAnswer)
 	}
-	if took := time.Since(began); took >= callTimeout {
-		t.Errorf("told after %v that there is no answer", took)
+	if took := time.Since(start); took >= callTimeout {
+		t.Errorf("Txn with a lost answer took %v, want less than %v", took, callTimeout)
 	}
-	<-came
+	<-arrived
 	c.answerTimeout = client.NewAdaptiveTimeout(time.Hour, time.Hour)
 	for range calls {
 		go c.Txn(t.Context(), wire.Txn{}, false)
 	}
 	for i := range calls {
 		select {
-		case <-came:
+		case <-arrived:
 		case <-time.After(20 * time.Second):
-			t.Fatalf("%d calls of %d went out, the others wait for answers that do not come", i, calls)
+			t.Fatalf("%d calls arrived within 20 s, want %d without waiting for lost answers", i, calls)
 		}
 	}
 }
