--- a/cmd/fawncove/recover.go
+++ b/cmd/fawncove/recover.go
@@ -39,11 +39,11 @@
 	var err error
 	switch {
 	case !found:
-		_, err = fmt.Fprintln(out, "generation 1: the state has never been rebuilt")
+		_, err = fmt.Fprintln(out, "generation 1: no loss of data was ever detected")
 	case generation.Rebuilding:
-		_, err = fmt.Fprintf(out, "generation %d has lost data; %s noticed %s, and it is being rebuilt\n", generation.Generation, generation.Controller, humanize.Time(at))
+		_, err = fmt.Fprintf(out, "generation %d has lost data; %s noticed %s, and the state is being recovered\n", generation.Generation, generation.Controller, humanize.Time(at))
 	default:
-		_, err = fmt.Fprintf(out, `generation %d, rebuilt by %s %s (%s) in %v
+		_, err = fmt.Fprintf(out, `generation %d, recovered by %s %s (%s) in %v
 revision %d had been seen, %d was found
 stored again: %d jobs, %d ends; %d machines were taken over
 `, generation.Generation, generation.Controller, humanize.Time(at), at.UTC().Format(time.RFC3339), time.Duration(generation.TookMs)*time.Millisecond, generation.RevisionSeen, generation.RevisionFound, generation.Jobs, generation.Ends, generation.Machines)
--- a/cmd/fawncove/upgrade.go
+++ b/cmd/fawncove/upgrade.go
@@ -124,7 +124,7 @@
 func printStatus(out io.Writer, status *upgrade.Status) error {
 	fmt.Fprintf(out, "%s; lease value in form %d, generation %d\n\n", status.Summary(), status.Form, status.Generation)
 	tw := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(tw, "CONTROLLER\tVERSION\tLEVELS\tSEEN\tREADY\tMACHINES\tUNHEARD\tTO REWRITE\tTOLD")
+	fmt.Fprintln(tw, "CONTROLLER\tVERSION\tLEVELS\tSEEN\tREADY\tMACHINES\tUNRECONCILED\tTO REWRITE\tUPDATED")
 	for _, controller := range status.Controllers {
 		name, version, levels, seen, ready, updated := controller.Name, controller.Version, fmt.Sprintf("%d-%d", controller.OldestLevel, controller.NewestLevel), fmt.Sprint(controller.SeenLevel), fmt.Sprint(controller.Ready), "-"
 		if controller.Leads {
@@ -134,7 +134,7 @@
 		case controller.BeforeLevels():
 			version, levels, seen, ready = "from before levels", "-", "-", "-"
 		case controller.Incarnation == 0:
-			version, levels, seen, ready = "not heard of", "-", "-", "-"
+			version, levels, seen, ready = "unreachable", "-", "-", "-"
 		default:
 			updated = humanize.Time(controller.UpdatedAt)
 		}
@@ -147,7 +147,7 @@
 		fmt.Fprintln(out, "\nheld by the operator")
 	}
 	if status.RequestedLevel > status.Level {
-		fmt.Fprintf(out, "\nlevel %d is asked for\n", status.RequestedLevel)
+		fmt.Fprintf(out, "\nlevel %d is requested\n", status.RequestedLevel)
 	}
 	for info, blocker := range status.LevelBlockers {
 		if info == 0 {
@@ -183,7 +183,7 @@
 	cmd := o.jsonFlag(o.command("plan", "Show the order of replacement, and whether the next one may go now; ends with 3 if not",
 		func(r *session) error {
 			if version == develVersion {
-				return errors.New("this build names no version, so it cannot be told from another: build with -buildvcs=true, or name what is rolled out with --version")
+				return errors.New("this build names no version, so it cannot be distinguished from another: build with -buildvcs=true, or name what is rolled out with --version")
 			}
 			plan := &replacementPlan{Version: version}
 			for observation := 1; observation < observations && len(plan.Reasons) == 0; observation++ {
@@ -248,7 +248,7 @@
 			if err := r.status.Request(r.ctx, r.store, feature.OperatorRequest{TargetLevel: to, Hold: r.status.Hold}, time.Now()); err != nil {
 				return err
 			}
-			fmt.Fprintf(r.out, "level %d is asked for\n", to)
+			fmt.Fprintf(r.out, "level %d is requested\n", to)
 			return r.awaitConfirmation(to, wait)
 		})
 	cmd.Flags().Uint32Var(&level, "level", 0, "level to raise to (default: the newest that any controller knows)")
--- a/internal/core/feature/feature.go
+++ b/internal/core/feature/feature.go
@@ -56,9 +56,9 @@
 // Error says which version is needed.
 func (e LevelError) Error() string {
 	if e.Level > e.Supported.Newest {
-		return fmt.Sprintf("the cluster is at level %d, this version follows up to %d: a newer version is needed", e.Level, e.Supported.Newest)
+		return fmt.Sprintf("the cluster is at level %d, this version supports levels up to %d: a newer version is needed", e.Level, e.Supported.Newest)
 	}
-	return fmt.Sprintf("the cluster is at level %d, this version follows from %d on: a version in between has to be rolled out first", e.Level, e.Supported.Oldest)
+	return fmt.Sprintf("the cluster is at level %d, this version supports levels from %d on: a version in between has to be rolled out first", e.Level, e.Supported.Oldest)
 }
 
 // Gate is a behaviour, or a stored form, that comes with a level.
--- a/internal/core/feature/feature_test.go
+++ b/internal/core/feature/feature_test.go
@@ -21,13 +21,13 @@
 		block    func(m *Member) // makes the member keep the level down
 		wantWait string
 	}{
-		"never reachable":             {func(m *Member) { *m = Member{Name: m.Name} }, "b was never heard"},
-		"unreachable":                 {func(m *Member) { m.Reachable = false }, "b is not heard"},
-		"no level announced":          {func(m *Member) { m.Announced = Announcement{} }, "b has told no level"},
-		"a new process":               {func(m *Member) { m.Incarnation = 8 }, "b told its level as an earlier process"},
+		"never reachable":             {func(m *Member) { *m = Member{Name: m.Name} }, "b was never reachable"},
+		"unreachable":                 {func(m *Member) { m.Reachable = false }, "b is unreachable"},
+		"no level announced":          {func(m *Member) { m.Announced = Announcement{} }, "b has announced no level"},
+		"a new process":               {func(m *Member) { m.Incarnation = 8 }, "b announced its level as an earlier process"},
 		"block of an earlier process": {func(m *Member) { m.LeaseIncarnation = 8 }, "b holds its block as an earlier process"},
-		"supports lower levels":       {func(m *Member) { m.Announced.Levels.Newest = 0 }, "b version new follows levels 0 to 0 only"},
-		"supports higher levels":      {func(m *Member) { m.Announced.Levels = Range{3, 4} }, "b version new follows levels 3 to 4 only"},
+		"supports lower levels":       {func(m *Member) { m.Announced.Levels.Newest = 0 }, "b version new supports levels 0 to 0 only"},
+		"supports higher levels":      {func(m *Member) { m.Announced.Levels = Range{3, 4} }, "b version new supports levels 3 to 4 only"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := LevelRaiser{Delay: time.Second}
--- a/internal/core/feature/raiser.go
+++ b/internal/core/feature/raiser.go
@@ -47,18 +47,18 @@
 func (m Member) BlockerFor(level Level) string {
 	switch {
 	case m.Incarnation == 0:
-		return "was never heard; it is named in the settings"
+		return "was never reachable; it is named in the settings"
 	case !m.Reachable:
-		return "is not heard at the moment"
+		return "is unreachable at the moment"
 	case m.Announced.Incarnation == 0:
-		return "has told no level: its version is from before levels, or it has just started"
+		return "has announced no level: its version is from before levels, or it has just started"
 	case m.Announced.Incarnation != m.Incarnation:
-		return "told its level as an earlier process"
+		return "announced its level as an earlier process"
 	case m.LeaseIncarnation != 0 && m.LeaseIncarnation != m.Incarnation:
 		return "holds its block as an earlier process"
 	}
 	if err := m.Announced.Levels.Follow(level); err != nil {
-		return fmt.Sprintf("version %s follows levels %d to %d only", m.Announced.Version, m.Announced.Levels.Oldest, m.Announced.Levels.Newest)
+		return fmt.Sprintf("version %s supports levels %d to %d only", m.Announced.Version, m.Announced.Levels.Oldest, m.Announced.Levels.Newest)
 	}
 	return ""
 }
--- a/internal/testkit/simtest/rollout_test.go
+++ b/internal/testkit/simtest/rollout_test.go
@@ -216,11 +216,11 @@
 		hold func(w *World, i int)
 		says string
 	}{
-		"absent":        {func(w *World, i int) { w.Crash(i, 50*time.Second) }, "is not heard"},
-		"frozen":        {func(w *World, i int) { w.Freeze(i, 50*time.Second) }, "is not heard"},
-		"cut off":       {func(w *World, i int) { w.alone(i, 50*time.Second) }, "is not heard"},
-		"older":         {func(w *World, i int) { w.Install(i, before, time.Second) }, "told its level as an earlier process"},
-		"one too old":   {func(w *World, i int) { w.Install(i, middle, time.Second) }, "version up to level 1 follows levels 0 to 1 only"},
+		"absent":        {func(w *World, i int) { w.Crash(i, 50*time.Second) }, "is unreachable"},
+		"frozen":        {func(w *World, i int) { w.Freeze(i, 50*time.Second) }, "is unreachable"},
+		"cut off":       {func(w *World, i int) { w.alone(i, 50*time.Second) }, "is unreachable"},
+		"older":         {func(w *World, i int) { w.Install(i, before, time.Second) }, "announced its level as an earlier process"},
+		"one too old":   {func(w *World, i int) { w.Install(i, middle, time.Second) }, "version up to level 1 supports levels 0 to 1 only"},
 		"no word given": {func(w *World, i int) { w.word(wire.OperatorRequest{Form: 1, HoldLevel: true}) }, "waits for the operator, who holds it"},
 	}
 	for name, c := range cases {
--- a/internal/upgrade/plan.go
+++ b/internal/upgrade/plan.go
@@ -59,7 +59,7 @@
 		case c.LeaseIncarnation == 0:
 			out = append(out, c.Name+" holds no block")
 		case c.UnreconciledMachines > 0:
-			out = append(out, fmt.Sprintf("%s has not heard %d of its machines yet", c.Name, c.UnreconciledMachines))
+			out = append(out, fmt.Sprintf("%s has yet to reconcile %d of its machines", c.Name, c.UnreconciledMachines))
 		case c.Incarnation == c.LeaseIncarnation && !c.Ready:
 			out = append(out, c.Name+" does not serve users yet")
 		case earlier != nil && i < len(earlier.Controllers) && earlier.Controllers[i].LeaseIncarnation == c.LeaseIncarnation && earlier.Controllers[i].Renewal == c.Renewal:
