--- a/internal/core/controller/levels.go
+++ b/internal/core/controller/levels.go
@@ -30,13 +30,51 @@
 	levelReadRetry = time.Second
 )
 
+// levelPhase says what is known of all controllers' records, and which request for them
+// is in flight: one at most.
+//
+//	levelsUnread → readingLevels   when the records are asked for
+//	readingLevels → levelsRead     when all were read; levelsUnread if that failed
+//	levelsRead → writingLevel      when this controller's record is to be stored
+//	writingLevel → levelsRead      when that is answered; levelsUnread by a conflict
+type levelPhase int
+
+const (
+	levelsUnread levelPhase = iota
+	readingLevels
+	// levelsRead: changes come with the watch from then on.
+	levelsRead
+	writingLevel
+)
+
 // levelPublisher is the progress of reading all controllers' records and writing this
 // one's.
 type levelPublisher struct {
-	allRead       bool // changes come with the watch from then on
-	readInFlight  bool
-	writeInFlight bool
-	nextAt        time.Time // nothing is read or written before
+	phase  levelPhase
+	nextAt time.Time // nothing is read or written before
+}
+
+// beginRead starts a reading of all records.
+func (l *levelPublisher) beginRead() { l.phase = readingLevels }
+
+// failRead ends a reading without a result; it begins anew after a pause.
+func (l *levelPublisher) failRead(now time.Time) {
+	l.phase, l.nextAt = levelsUnread, now.Add(levelReadRetry)
+}
+
+// completeRead ends a reading that shows all records.
+func (l *levelPublisher) completeRead() { l.phase = levelsRead }
+
+// beginWrite starts a write of this controller's record.
+func (l *levelPublisher) beginWrite() { l.phase = writingLevel }
+
+// completeWrite ends a write. After a conflict all records are read again, as something
+// has changed unseen.
+func (l *levelPublisher) completeWrite(outcome eventloop.Outcome) {
+	l.phase = levelsRead
+	if outcome == eventloop.Conflict {
+		l.phase = levelsUnread
+	}
 }
 
 // levelRaiseConditions returns the further conditions of a lease value that raises the
@@ -95,35 +133,38 @@
 	return out
 }
 
-// readLevels reads the records of all controllers once.
+// readLevels reads the records of all controllers.
 func (c *Core) readLevels() {
-	if c.levels.readInFlight || c.loop.Now.Before(c.levels.nextAt) {
-		return
-	}
-	c.levels.readInFlight = true
+	c.levels.beginRead()
 	c.loop.Emit(eventloop.StateRange{Prefix: LevelPrefix, ID: c.loop.OnCompletion(func(d eventloop.Completion) {
-		c.levels.readInFlight = false
 		if d.Outcome != eventloop.Succeeded {
-			c.levels.nextAt = c.loop.Now.Add(levelReadRetry)
+			c.levels.failRead(c.loop.Now)
 			return
 		}
 		for _, p := range d.Page.Pairs {
 			c.applyLevel(p.Key, p.Value, p.Version)
 		}
-		c.levels.allRead = true
+		c.levels.completeRead()
 	})})
 }
 
-// publishLevel stores this controller's record when it has changed.
+// publishLevel reads all controllers' records, and stores this controller's when it has
+// changed.
 func (c *Core) publishLevel() {
-	if !c.view.Params.Levels.KnowsLevels() {
+	if !c.view.Params.Levels.KnowsLevels() || c.loop.Now.Before(c.levels.nextAt) {
 		return
 	}
-	if !c.levels.allRead {
+	switch c.levels.phase {
+	case levelsUnread:
 		c.readLevels()
-		return
+	case levelsRead:
+		c.storeChangedLevel()
 	}
-	if c.levels.writeInFlight || c.loop.Now.Before(c.levels.nextAt) || c.view.LeaseVersion == 0 {
+}
+
+// storeChangedLevel stores this controller's record if it has changed.
+func (c *Core) storeChangedLevel() {
+	if c.view.LeaseVersion == 0 {
 		return
 	}
 	c.levels.nextAt = c.loop.Now.Add(levelPublishInterval)
@@ -165,16 +206,13 @@
 // storeControllerRecord stores this controller's record in place of the version that is
 // known, so that a late write of an earlier process cannot replace it.
 func (c *Core) storeControllerRecord(rec wire.ControllerRecord, known uint64) {
-	c.levels.writeInFlight = true
+	c.levels.beginWrite()
 	key := ControllerPrefix + c.view.Self
 	txn := wire.Txn{If: []wire.Condition{{Key: key, Version: known}}, Then: []wire.Op{{Put: key, Value: rec}}}
 	c.loop.Emit(eventloop.StateTxn{Txn: txn, ID: c.loop.OnCompletion(func(d eventloop.Completion) {
-		c.levels.writeInFlight = false
-		switch d.Outcome {
-		case eventloop.Succeeded:
+		c.levels.completeWrite(d.Outcome)
+		if d.Outcome == eventloop.Succeeded {
 			c.view.Controllers[c.view.Self] = cluster.Stored[wire.ControllerRecord]{Value: rec, Version: d.Txn.Revision}
-		case eventloop.Conflict:
-			c.levels.allRead = false // something has changed unseen: read again
 		}
 	})})
 }
