--- a/internal/core/controller/cancellations_test.go
+++ b/internal/core/controller/cancellations_test.go
@@ -36,7 +36,7 @@
 			s.Peers = append(s.Peers, config.Peer{HostName: "n2", Area: "x"})
 			core := New(&s, c0.view.Params, c0.log, 7)
 			core.loop.Begin(start)
-			core.state = stateReader{phase: stateRead, revision: 7, lastAnswer: start, watching: true}
+			core.state = stateReader{phase: stateWatched, revision: 7, lastAnswer: start}
 			core.owner.ChangesKnown(core.view.LeaseVersion, start)
 			request, now := uint64(0), start
 			for request < 2*maxFreshnessRequests {
--- a/internal/core/controller/read.go
+++ b/internal/core/controller/read.go
@@ -43,7 +43,7 @@
 		r.fail("recovery under way", outcome)
 		return
 	}
-	c.state.phase = readingJobs
+	c.state.goOnWithJobs()
 	r.startedAt = c.loop.Now
 	r.readJobs("")
 }
@@ -74,7 +74,7 @@
 		return
 	}
 	r.endMissingJobs()
-	c.state.phase = readingLease
+	c.state.goOnWithLease()
 	c.readLease(r.leaseRead)
 }
 
--- a/internal/core/controller/state.go
+++ b/internal/core/controller/state.go
@@ -33,9 +33,12 @@
 	freshnessRequestShare = 0.25
 )
 
-// readPhase is how far this controller has read the state. The phases follow one
-// another in their order; a failure, or a watch that came too late, leads back to
-// stateUnread.
+// readPhase is how far this controller has read the state.
+//
+//	stateUnread → readingGeneration → readingJobs → readingLease → stateRead   a reading
+//	readingGeneration, readingJobs, readingLease → stateUnread                 when it fails
+//	stateRead ⇄ stateWatched                                                   as a watch is open or not
+//	stateRead → stateUnread                                                    when the watch came too late
 type readPhase int
 
 const (
@@ -43,7 +46,10 @@
 	readingGeneration
 	readingJobs
 	readingLease
-	stateRead // the watch keeps what was read up to date
+	// stateRead: read as a whole; the next watch is yet to be opened.
+	stateRead
+	// stateWatched: the open watch keeps what was read up to date.
+	stateWatched
 )
 
 // stateReader is the progress of this controller's copy of the state: read as a
@@ -52,13 +58,12 @@
 	phase       readPhase
 	retryAt     time.Time // no reading begins before
 	revision    uint64    // all changes up to it are applied
-	watching    bool      // a watch is open
-	nextWatchAt time.Time
+	nextWatchAt time.Time // no watch is opened before
 	lastAnswer  time.Time // when the state service last answered
 }
 
 // loaded reports whether the state has been read as a whole.
-func (s *stateReader) loaded() bool { return s.phase == stateRead }
+func (s *stateReader) loaded() bool { return s.phase == stateRead || s.phase == stateWatched }
 
 // begin starts a reading, and reports whether one may start now.
 func (s *stateReader) begin(now time.Time) bool {
@@ -69,6 +74,12 @@
 	return true
 }
 
+// goOnWithJobs ends the reading of the generation.
+func (s *stateReader) goOnWithJobs() { s.phase = readingJobs }
+
+// goOnWithLease ends the reading of the jobs.
+func (s *stateReader) goOnWithLease() { s.phase = readingLease }
+
 // fail ends a reading without a result.
 func (s *stateReader) fail(now time.Time) {
 	s.phase = stateUnread
@@ -80,6 +91,20 @@
 	s.phase, s.revision = stateRead, revision
 }
 
+// openWatch opens a watch, and reports whether one may be opened now.
+func (s *stateReader) openWatch(now time.Time) bool {
+	if s.phase != stateRead || now.Before(s.nextWatchAt) {
+		return false
+	}
+	s.phase = stateWatched
+	return true
+}
+
+// closeWatch notes that the watch was answered; the next one is opened at a time.
+func (s *stateReader) closeWatch(nextAt time.Time) {
+	s.phase, s.nextWatchAt = stateRead, nextAt
+}
+
 // invalidate makes a new reading necessary.
 func (s *stateReader) invalidate() { s.phase = stateUnread }
 
--- a/internal/core/controller/watch.go
+++ b/internal/core/controller/watch.go
@@ -13,16 +13,14 @@
 
 // watchState keeps one watch open over everything below root.
 func (c *Core) watchState() {
-	if c.state.watching || c.loop.Now.Before(c.state.nextWatchAt) {
+	if !c.state.openWatch(c.loop.Now) {
 		return
 	}
-	c.state.watching = true
 	sent := c.loop.Now
 	// Many changes in a row are read together, to save requests.
 	pause := c.requestInterval(watchRequestShare)
 	c.loop.Emit(eventloop.StateWatch{Prefix: root, After: c.state.revision, Hold: cluster.WatchHold, ID: c.loop.OnCompletion(func(d eventloop.Completion) {
-		c.state.watching = false
-		c.state.nextWatchAt = sent.Add(pause)
+		c.state.closeWatch(sent.Add(pause))
 		switch d.Outcome {
 		case eventloop.Succeeded:
 			c.applyChanges(d.Changes)
