--- a/internal/core/controller/generation.go
+++ b/internal/core/controller/generation.go
@@ -23,7 +23,7 @@
 		if d.Outcome == eventloop.Succeeded {
 			c.applyGeneration(d.Pair.Value, d.Pair.Version)
 		}
-		c.startup.generationRead = c.startup.generationRead || readOrAbsent(d.Outcome)
+		c.startup.noteGenerationRead(d.Outcome)
 		done(d.Outcome)
 	})})
 }
--- a/internal/core/controller/loss.go
+++ b/internal/core/controller/loss.go
@@ -41,7 +41,7 @@
 	revision := max(d.Txn.Revision, d.Page.Revision, d.Changes.Revision)
 	if expected := c.loop.CallRevision(d.ID); revision < expected {
 		if !c.state.loaded() && c.recovery == nil {
-			c.startup.staleAnswerAt = c.loop.Now
+			c.startup.noteStaleAnswer(c.loop.Now)
 			c.loop.ResetHighestRevision()
 		}
 		c.startRecovery(stateLoss{reason: lossRevision, revisionSeen: expected, revisionFound: revision})
--- a/internal/core/controller/startup.go
+++ b/internal/core/controller/startup.go
@@ -21,22 +21,64 @@
 // startupCheck is what a process that has just started knows of the state beside what
 // it reads. That may have lost data without this process being able to notice: so it
 // asks the others first, and waits while a recovery is under way.
+//
+// The fields are not phases of one state: after a recovery a controller that starts anew
+// reads the generation before it has asked the others, and an answer may fall short, or
+// a recovery be abandoned, at any time until the state has been read.
 type startupCheck struct {
-	helloSentAt    time.Time
-	generationRead bool
-	staleAnswerAt  time.Time // when an answer fell short of what another controller had seen
-	abandonedSince time.Time // since when nobody in reach works at the recovery under way
+	helloSentAt    time.Time // zero: the others have not been asked
+	generationRead bool      // once is enough
+	staleAnswerAt  time.Time // when an answer last fell short of what another controller had seen; zero: none has
+	abandonedSince time.Time // since when nobody in reach works at the recovery under way; zero: somebody does, or there is none
+}
+
+// beginHello notes that the others are asked, and reports whether they have yet to be.
+func (s *startupCheck) beginHello(now time.Time) bool {
+	if !s.helloSentAt.IsZero() {
+		return false
+	}
+	s.helloSentAt = now
+	return true
+}
+
+// awaitsAnswers reports whether the others still have time to answer.
+func (s *startupCheck) awaitsAnswers(now time.Time) bool {
+	return now.Sub(s.helloSentAt) < helloTimeout
+}
+
+// noteGenerationRead notes the outcome of reading the generation.
+func (s *startupCheck) noteGenerationRead(outcome eventloop.Outcome) {
+	s.generationRead = s.generationRead || readOrAbsent(outcome)
+}
+
+// noteStaleAnswer notes an answer that falls short of what another controller has seen.
+func (s *startupCheck) noteStaleAnswer(now time.Time) { s.staleAnswerAt = now }
+
+// awaitsNotice reports whether the others may have yet to notice a loss that a stale
+// answer has shown.
+func (s *startupCheck) awaitsNotice(now time.Time) bool {
+	return !s.staleAnswerAt.IsZero() && now.Sub(s.staleAnswerAt) < staleAnswerWait
+}
+
+// noteUnattended notes whether a recovery is under way at which nobody in reach works,
+// and reports whether that has lasted so long that the recovery counts as abandoned.
+func (s *startupCheck) noteUnattended(now time.Time, unattended bool) (abandoned bool) {
+	switch {
+	case !unattended:
+		s.abandonedSince = time.Time{}
+	case s.abandonedSince.IsZero():
+		s.abandonedSince = now
+	}
+	return unattended && now.Sub(s.abandonedSince) > abandonedRecoveryTimeout
 }
 
 // startUp asks the others and starts to read once they have answered.
 func (c *Core) startUp() {
-	if c.startup.helloSentAt.IsZero() {
-		c.startup.helloSentAt = c.loop.Now
+	if c.startup.beginHello(c.loop.Now) {
 		c.sendHello()
 	}
-	waited := c.loop.Now.Sub(c.startup.helloSentAt)
 	for name := range c.view.Peers {
-		if !c.view.IsReachable(name, c.loop.Now) && waited < helloTimeout {
+		if !c.view.IsReachable(name, c.loop.Now) && c.startup.awaitsAnswers(c.loop.Now) {
 			return
 		}
 	}
@@ -60,17 +102,11 @@
 		return false
 	}
 	elsewhere, rebuilding := c.peerRecovering(), c.storedGeneration.Value.Rebuilding
-	switch {
-	case !rebuilding || elsewhere:
-		c.startup.abandonedSince = time.Time{}
-	case c.startup.abandonedSince.IsZero():
-		c.startup.abandonedSince = c.loop.Now
-	case c.loop.Now.Sub(c.startup.abandonedSince) > abandonedRecoveryTimeout:
+	if c.startup.noteUnattended(c.loop.Now, rebuilding && !elsewhere) {
 		c.log.Warn("taking over abandoned recovery", "generation", c.generation())
 		c.recovery = &recoveryRun{generation: c.generation(), startedAt: c.loop.Now}
 	}
-	stale := !c.startup.staleAnswerAt.IsZero() && c.loop.Now.Sub(c.startup.staleAnswerAt) < staleAnswerWait
-	return elsewhere || rebuilding || stale
+	return elsewhere || rebuilding || c.startup.awaitsNotice(c.loop.Now)
 }
 
 // restart makes this controller a process that has just started. What it knew is kept
