--- a/internal/core/controller/recovery.go
+++ b/internal/core/controller/recovery.go
@@ -27,7 +27,12 @@
 	maxRestoreTxnBytes = 40 << 10
 )
 
-// recoveryRun is a recovery of the state under way.
+// recoveryRun is a recovery of the state under way: it has the state say that it is being
+// recovered, lets the others join, restores what was known here and waits for the
+// recovered state. Another loss starts it over.
+//
+// markedRebuilding and restored are not phases of one state: a step in flight goes on
+// through another loss, so restored may be set before the others have joined again.
 type recoveryRun struct {
 	generation    uint64 // that has lost data
 	revisionSeen  uint64 // the highest of it
@@ -41,11 +46,26 @@
 	jobs, ends       int  // stored again
 }
 
+// stepDue reports whether the next step may begin now.
+func (r *recoveryRun) stepDue(now time.Time) bool {
+	return !r.inFlight && !now.Before(r.nextAt) && !(r.markedRebuilding && r.joining(now))
+}
+
+// beginStep notes that a step waits for the state service.
+func (r *recoveryRun) beginStep() { r.inFlight = true }
+
 // stepDone ends a step; the next one comes after a pause.
 func (r *recoveryRun) stepDone(now time.Time) {
 	r.inFlight, r.nextAt = false, now.Add(recoveryRetryInterval)
 }
 
+// noteMarked notes that the state says that it is being recovered: no step is due while
+// the others join.
+func (r *recoveryRun) noteMarked() { r.markedRebuilding = true }
+
+// noteRestored notes that all that was known here is stored.
+func (r *recoveryRun) noteRestored() { r.restored = true }
+
 // joining reports whether the others still get time to notice the loss.
 func (r *recoveryRun) joining(now time.Time) bool { return now.Sub(r.startedAt) < recoveryJoinTime }
 
@@ -85,10 +105,10 @@
 	r := c.recovery
 	c.sendFrames()
 	c.owner.CheckMachines()
-	if r.inFlight || c.loop.Now.Before(r.nextAt) || (r.markedRebuilding && r.joining(c.loop.Now)) {
+	if !r.stepDue(c.loop.Now) {
 		return
 	}
-	r.inFlight = true
+	r.beginStep()
 	// By a range, as that shows the revision too: another loss is noticed.
 	c.loop.Emit(eventloop.StateRange{Prefix: generationKey, ID: c.loop.OnCompletion(func(d eventloop.Completion) { c.continueRecovery(r, d) })})
 }
@@ -113,7 +133,7 @@
 	case stepMark:
 		c.markRebuilding(version, r)
 	case stepJoin:
-		r.markedRebuilding = true
+		r.noteMarked()
 		r.stepDone(c.loop.Now)
 	case stepRestart:
 		if !r.restored { // logged, and not made up for: see mayAddRecords
--- a/internal/core/controller/recovery_write.go
+++ b/internal/core/controller/recovery_write.go
@@ -26,11 +26,12 @@
 		return
 	}
 	if len(txns) == 0 {
-		r.restored, c.nextFramesAt = true, time.Time{} // the next one waits for it
+		r.noteRestored()
+		c.nextFramesAt = time.Time{} // the next one waits for it
 		c.sendFrames()
 		return
 	}
-	r.inFlight = true
+	r.beginStep()
 	w := &restoreWrites{core: c, run: r, txns: txns}
 	w.sendNext()
 }
@@ -116,7 +117,7 @@
 	g := c.nextGeneration(len(rec.Blocks[c.view.Self].Unreconciled))
 	ops = append(ops, wire.Op{Put: generationKey, Value: g})
 	conds := []wire.Condition{{Key: leaseKey, Version: s.leaseVersion}, {Key: generationKey, Version: s.generationVersion}}
-	r.inFlight = true
+	r.beginStep()
 	c.loop.Emit(eventloop.StateTxn{LeaseBudget: true, Txn: wire.Txn{If: conds, Then: ops}, ID: c.loop.OnCompletion(func(d eventloop.Completion) {
 		r.stepDone(c.loop.Now)
 		if d.Outcome == eventloop.Succeeded && c.recovery == r {
