--- a/internal/core/controller/shards.go
+++ b/internal/core/controller/shards.go
@@ -1,6 +1,8 @@
 package controller
 
 import (
+	"time"
+
 	"fawncove/internal/core/cluster"
 	"fawncove/internal/wire"
 )
@@ -32,6 +34,19 @@
 	capacity  cluster.Capacity
 }
 
+// shardLoads is what is known of the free processors of the controllers that own shards,
+// in one step.
+type shardLoads struct {
+	view *cluster.View
+	own  *localLoad
+	now  time.Time
+}
+
+// shardLoads returns what is known in this step.
+func (c *Core) shardLoads() *shardLoads {
+	return &shardLoads{view: c.view, own: &c.load, now: c.loop.Now}
+}
+
 // shardCandidate is a shard that a job may go to.
 type shardCandidate struct {
 	shard string
@@ -48,12 +63,12 @@
 // one where most of it can start at once; otherwise, and among equals, that of the
 // controller with most processors to spare. Both count less what the block has beyond
 // the mean. It returns "" when the team is one partition.
-func (c *Core) chooseShard(j *wire.Job) string {
+func (l *shardLoads) chooseShard(j *wire.Job) string {
 	var best shardCandidate
-	shards := cluster.Shards(c.view.Lease.Partitions, j.Team)
-	mean := c.meanBlockSize(shards)
+	shards := cluster.Shards(l.view.Lease.Partitions, j.Team)
+	mean := l.meanBlockSize(shards)
 	for _, shard := range shards {
-		spare, capacity, ok := c.loadOf(c.view.Lease.Partitions[shard])
+		spare, capacity, ok := l.loadOf(l.view.Lease.Partitions[shard])
 		if !ok {
 			continue
 		}
@@ -67,28 +82,28 @@
 		}
 	}
 	if best.shard != "" {
-		c.deductCapacity(c.view.Lease.Partitions[best.shard], j)
+		l.deductCapacity(l.view.Lease.Partitions[best.shard], j)
 	}
 	return best.shard
 }
 
 // loadOf returns what is known of a controller's free processors; ok is false when it is
 // another one that cannot be reached.
-func (c *Core) loadOf(node string) (spare *float64, capacity *cluster.Capacity, ok bool) {
-	if node == c.view.Self {
-		return &c.load.spareCPUs, &c.load.capacity, true
+func (l *shardLoads) loadOf(node string) (spare *float64, capacity *cluster.Capacity, ok bool) {
+	if node == l.view.Self {
+		return &l.own.spareCPUs, &l.own.capacity, true
 	}
-	if !c.view.IsReachable(node, c.loop.Now) {
+	if !l.view.IsReachable(node, l.now) {
 		return nil, nil, false
 	}
-	p := c.view.Peers[node]
+	p := l.view.Peers[node]
 	return &p.SpareCPUs, &p.Capacity, true
 }
 
 // deductCapacity counts a job against the capacity of its controller until that
 // publishes its new figures.
-func (c *Core) deductCapacity(node string, j *wire.Job) {
-	if spare, capacity, ok := c.loadOf(node); ok {
+func (l *shardLoads) deductCapacity(node string, j *wire.Job) {
+	if spare, capacity, ok := l.loadOf(node); ok {
 		*spare -= float64(j.Tasks) * j.CPUs
 		capacity.Subtract(j)
 	}
@@ -96,12 +111,12 @@
 
 // meanBlockSize is the mean size, in processors, of the blocks of those controllers in
 // reach that own the shards.
-func (c *Core) meanBlockSize(shards []string) float64 {
+func (l *shardLoads) meanBlockSize(shards []string) float64 {
 	counted := map[string]bool{}
 	sum := 0.0
 	for _, shard := range shards {
-		node := c.view.Lease.Partitions[shard]
-		if _, capacity, ok := c.loadOf(node); ok && !counted[node] {
+		node := l.view.Lease.Partitions[shard]
+		if _, capacity, ok := l.loadOf(node); ok && !counted[node] {
 			counted[node] = true
 			sum += capacity.Size
 		}
--- a/internal/core/controller/shards_test.go
+++ b/internal/core/controller/shards_test.go
@@ -36,7 +36,7 @@
 			cluster.Capacity{Free: 50, Size: 300, Images: map[string]float64{"a": 40}}, 50, 50, "urgent", "a", "free #2"},
 	} {
 		core.load.capacity, core.load.spareCPUs, p.Capacity, p.SpareCPUs = c.own, c.ownSpare, c.other, c.spare
-		if got := core.chooseShard(job(c.priority, c.image)); got != c.want {
+		if got := core.shardLoads().chooseShard(job(c.priority, c.image)); got != c.want {
 			t.Errorf("%s: goes to %s, want %s", c.name, got, c.want)
 		}
 	}
--- a/internal/core/controller/submit.go
+++ b/internal/core/controller/submit.go
@@ -144,7 +144,7 @@
 
 // newRecord returns the record of a new job, with the partition that it goes to.
 func (c *Core) newRecord(j wire.Job) wire.JobRecord {
-	rec := wire.JobRecord{Job: j, Shard: c.chooseShard(&j), SubmittedAtMs: c.loop.Now.UnixMilli()}
+	rec := wire.JobRecord{Job: j, Shard: c.shardLoads().chooseShard(&j), SubmittedAtMs: c.loop.Now.UnixMilli()}
 	partition := rec.Team
 	if rec.Shard != "" {
 		partition = rec.Shard
