--- a/internal/core/controller/levels_test.go
+++ b/internal/core/controller/levels_test.go
@@ -89,3 +89,33 @@
 		}
 	}
 }
+
+// TestLevelPhases guards against a write that starts from records that have changed unseen,
+// and against a reading that is tried again without a pause.
+func TestLevelPhases(t *testing.T) {
+	now := time.Date(2026, 3, 1, 6, 0, 0, 0, time.UTC)
+	var l levelPublisher
+	if l.beginRead(); l.phase != readingLevels {
+		t.Fatalf("no reading is under way: %+v", l)
+	}
+	if l.failRead(now); l.phase != levelsUnread || !l.nextAt.Equal(now.Add(levelReadRetry)) {
+		t.Errorf("after a reading that failed: %+v", l)
+	}
+	l.beginRead()
+	if l.completeRead(); l.phase != levelsRead {
+		t.Errorf("after a complete reading: %+v", l)
+	}
+	for outcome, want := range map[eventloop.Outcome]levelPhase{
+		eventloop.Succeeded: levelsRead,
+		eventloop.NoAnswer:  levelsRead,
+		eventloop.Conflict:  levelsUnread,
+	} {
+		l.completeRead()
+		if l.beginWrite(); l.phase != writingLevel {
+			t.Fatalf("no write is under way: %+v", l)
+		}
+		if l.completeWrite(outcome); l.phase != want {
+			t.Errorf("after a write with outcome %v: phase %v, want %v", outcome, l.phase, want)
+		}
+	}
+}
