--- a/internal/core/controller/read.go
+++ b/internal/core/controller/read.go
@@ -43,7 +43,7 @@
 		r.fail("recovery under way", outcome)
 		return
 	}
-	c.state.goOnWithJobs()
+	c.state.beginReadingJobs()
 	r.startedAt = c.loop.Now
 	r.readJobs("")
 }
@@ -74,7 +74,7 @@
 		return
 	}
 	r.endMissingJobs()
-	c.state.goOnWithLease()
+	c.state.beginReadingLease()
 	c.readLease(r.leaseRead)
 }
 
--- a/internal/core/controller/state.go
+++ b/internal/core/controller/state.go
@@ -74,11 +74,11 @@
 	return true
 }
 
-// goOnWithJobs ends the reading of the generation.
-func (s *stateReader) goOnWithJobs() { s.phase = readingJobs }
+// beginReadingJobs ends the reading of the generation.
+func (s *stateReader) beginReadingJobs() { s.phase = readingJobs }
 
-// goOnWithLease ends the reading of the jobs.
-func (s *stateReader) goOnWithLease() { s.phase = readingLease }
+// beginReadingLease ends the reading of the jobs.
+func (s *stateReader) beginReadingLease() { s.phase = readingLease }
 
 // fail ends a reading without a result.
 func (s *stateReader) fail(now time.Time) {
--- a/internal/core/controller/state_test.go
+++ b/internal/core/controller/state_test.go
@@ -16,7 +16,7 @@
 	if s.begin(now) {
 		t.Error("a second reading begins beside the first")
 	}
-	s.goOnWithJobs()
+	s.beginReadingJobs()
 	if s.fail(now); s.begin(now) || s.begin(now.Add(stateReadRetry-1)) {
 		t.Error("tried again without a pause")
 	}
