--- a/internal/core/owner/commands_test.go
+++ b/internal/core/owner/commands_test.go
@@ -48,8 +48,8 @@
 		token := o.fencingToken(m)
 		c.answer.ID = sent.ID
 		complete(o, now.Add(1100*time.Millisecond), c.answer)
-		if j.doneCount > 0 || m.unreachable || m.sequence != 1 {
-			t.Errorf("%s: counted as a report: %d done, lost: %v, newest report %d", name, j.doneCount, m.unreachable, m.sequence)
+		if j.doneCount > 0 || m.unreachable() || m.sequence != 1 {
+			t.Errorf("%s: counted as a report: %d done, lost: %v, newest report %d", name, j.doneCount, m.unreachable(), m.sequence)
 		}
 		first := false // still bound to the first start
 		for _, r := range j.attempts {
--- a/internal/core/owner/fencing_test.go
+++ b/internal/core/owner/fencing_test.go
@@ -33,8 +33,8 @@
 			}
 			renewLease(o)
 		}
-		if m.unreachable == recovers {
-			t.Errorf("receives commands again: %v, given up: %v", recovers, m.unreachable)
+		if m.unreachable() == recovers {
+			t.Errorf("receives commands again: %v, given up: %v", recovers, m.unreachable())
 		}
 	}
 }
--- a/internal/core/owner/filter.go
+++ b/internal/core/owner/filter.go
@@ -27,7 +27,7 @@
 // wants it back.
 func (o *Owner) canRunTasks(m *machine) bool {
 	maxSilence := config.Seconds(placeableReports*o.view.Settings.Cluster.Workers.ReportS) + placeableSlack
-	return !m.released() && !m.quarantined && !m.unreachable && m.reclaimAt.IsZero() &&
+	return !m.released() && !m.quarantined && !m.unreachable() && m.reclaimAt.IsZero() &&
 		!m.mayRunUnknownTasks() && m.hasShownToken() && m.agentEpoch != 0 && m.size.CPUs > 0 &&
 		!o.loop.Now.Before(m.noTasksBefore) && o.silence(m) < maxSilence
 }
--- a/internal/core/owner/health.go
+++ b/internal/core/owner/health.go
@@ -92,7 +92,7 @@
 	zones, late := o.countSilent()
 	o.extendCutOffs(zones)
 	for _, m := range o.workers.machines {
-		if m.unreachable {
+		if m.unreachable() {
 			continue
 		}
 		o.checkSilence(m, zones[m.zone], late)
@@ -116,7 +116,7 @@
 			z.onDemand++
 		}
 		if o.isLate(m) {
-			if !m.unreachable {
+			if !m.unreachable() {
 				late++
 			}
 			if !m.spot {
@@ -150,7 +150,7 @@
 	limit := o.silenceLimit(m, z, late)
 	reclaimed := !m.reclaimAt.IsZero() && o.loop.Now.Sub(m.reclaimAt) > reclaimGrace && o.isLate(m)
 	if o.silence(m) > limit || reclaimed {
-		m.unreachable = true
+		m.giveUp()
 		o.blockLease.RequestRenewal()
 		o.log.Info("machine unreachable", "machine", m.name, "duration", o.silence(m))
 	}
@@ -180,8 +180,8 @@
 	if m.unansweredCommands > 0 && z.spotReclaim() {
 		limit = min(limit, silent+DirectTimeout) // it does not answer probes either
 	}
-	if o.silence(m) > silent && !m.suspected {
-		m.suspected = true
+	if o.silence(m) > silent && !m.suspected() {
+		m.suspect()
 		o.blockLease.RequestRenewal() // the leader can rent another before this one is given up
 	}
 	return limit
--- a/internal/core/owner/health_test.go
+++ b/internal/core/owner/health_test.go
@@ -35,14 +35,14 @@
 			}
 			tick(o, now.Add(100*time.Millisecond))
 			// Another can be rented before it is given up.
-			if m := o.workers.machines[names[0]]; s == 8 && m.suspected != c.lost {
-				t.Errorf("%d of 30 silent, %d spot ones: missed %v, want %v", c.silent, c.spot, m.suspected, c.lost)
+			if m := o.workers.machines[names[0]]; s == 8 && m.suspected() != c.lost {
+				t.Errorf("%d of 30 silent, %d spot ones: missed %v, want %v", c.silent, c.spot, m.suspected(), c.lost)
 			}
 		}
-		if got := o.workers.machines[names[0]].unreachable; got != c.lost {
+		if got := o.workers.machines[names[0]].unreachable(); got != c.lost {
 			t.Errorf("%d of 30 silent, %d spot ones: lost %v, want %v", c.silent, c.spot, got, c.lost)
 		}
-		if o.workers.machines[names[20]].unreachable {
+		if o.workers.machines[names[20]].unreachable() {
 			t.Error("a machine that reports counts as lost")
 		}
 	}
@@ -69,7 +69,7 @@
 		}
 		tick(o, now.Add(100*time.Millisecond))
 		for _, name := range names {
-			if o.workers.machines[name].unreachable {
+			if o.workers.machines[name].unreachable() {
 				t.Fatalf("%s given up %d s after the start", name, s+1)
 			}
 		}
@@ -78,7 +78,7 @@
 		now = now.Add(time.Second)
 		tick(o, now)
 	}
-	if !o.workers.machines[names[11]].unreachable {
+	if !o.workers.machines[names[11]].unreachable() {
 		t.Error("never given up")
 	}
 }
@@ -104,7 +104,7 @@
 	cancelled, cutOff := on(j), on(other)
 	o.EndJob(j)
 	w := o.view.Settings.Cluster.Workers
-	for s := 1; s < 60 && !cancelled.unreachable; s++ {
+	for s := 1; s < 60 && !cancelled.unreachable(); s++ {
 		at := now.Add(time.Duration(s) * time.Second)
 		o.ChangesKnown(o.view.LeaseVersion, at)
 		tick(o, at)
@@ -113,7 +113,7 @@
 			break
 		}
 	}
-	if cutOff.unreachable {
+	if cutOff.unreachable() {
 		t.Error("a machine that was only cut off is given up as well")
 	}
 }
--- a/internal/core/owner/machine.go
+++ b/internal/core/owner/machine.go
@@ -52,13 +52,11 @@
 	images              []image
 	idleSince           time.Time // zero: it has tasks
 
-	// Health. A heartbeat ends suspected and unreachable. An unreachable machine may or may
-	// not have been suspected before: the leader is told of both.
+	// Health.
 	state       blockState
+	liveness    liveness
 	quarantined bool            // fails its tasks, see failure.go
 	failedTasks map[string]bool // tasks, or faulty jobs, that failed on it since one last completed
-	suspected   bool            // silent, and most likely reclaimed by the cloud
-	unreachable bool            // silent for too long; the leader may replace it
 	reclaimAt   time.Time       // when the cloud takes it; zero: no notice
 
 	// Direct commands, see commands.go.
--- a/internal/core/owner/observe.go
+++ b/internal/core/owner/observe.go
@@ -66,10 +66,10 @@
 	m.lastHeartbeat = o.loop.Now
 	// A machine that was given up and reports after all, say after a network partition, is
 	// as good as before, unless it is being returned already.
-	if m.unreachable {
+	if m.unreachable() {
 		o.blockLease.RequestRenewal() // the leader may still keep it
 	}
-	m.unreachable, m.suspected = false, false
+	m.markAlive()
 }
 
 // observeMachine applies what a worker says of the machine itself.
--- a/internal/core/owner/probe.go
+++ b/internal/core/owner/probe.go
@@ -81,7 +81,7 @@
 
 // needsProbe reports whether a probe of the machine may tell something new.
 func (o *Owner) needsProbe(m *machine) bool {
-	return !m.released() && !m.unreachable && (m.agentEpoch == 0 || m.needsReconciliation || o.isSilent(m))
+	return !m.released() && !m.unreachable() && (m.agentEpoch == 0 || m.needsReconciliation || o.isSilent(m))
 }
 
 // probe asks a worker for its tasks.
--- a/internal/core/owner/probe_test.go
+++ b/internal/core/owner/probe_test.go
@@ -51,7 +51,7 @@
 		if probes == 0 {
 			t.Fatal("not probed")
 		}
-		if got := o.workers.machines[names[0]].unreachable; got == answers {
+		if got := o.workers.machines[names[0]].unreachable(); got == answers {
 			t.Errorf("it answers: %v, given up: %v", answers, got)
 		}
 	}
--- a/internal/core/owner/published.go
+++ b/internal/core/owner/published.go
@@ -47,7 +47,7 @@
 // of them that may be on spot machines, and those of its block.
 func (o *Owner) ProcessorUse() (busy, spot, size float64) {
 	for _, m := range o.workers.machines {
-		if m.unreachable || m.quarantined || m.released() {
+		if m.unreachable() || m.quarantined || m.released() {
 			continue
 		}
 		size += m.size.CPUs
--- a/internal/core/owner/registry.go
+++ b/internal/core/owner/registry.go
@@ -100,7 +100,7 @@
 // EachMachine calls f for each machine of the block, in order of name.
 func (o *Owner) EachMachine(f func(name string, idle time.Duration, quarantined, unreachable bool)) {
 	for _, m := range o.workers.machinesByName() {
-		f(m.name, o.idleTime(m), m.quarantined, m.unreachable)
+		f(m.name, o.idleTime(m), m.quarantined, m.unreachable())
 	}
 }
 
--- a/internal/core/owner/renewal.go
+++ b/internal/core/owner/renewal.go
@@ -27,7 +27,7 @@
 		switch {
 		case m.released():
 			released = append(released, m.name)
-		case m.unreachable:
+		case m.unreachable():
 			unreachable = append(unreachable, m.name)
 		}
 		if m.endpoint == "" && !m.released() {
@@ -42,7 +42,7 @@
 		use := &peerpb.MachineUse{
 			Name:        m.name,
 			Quarantined: m.quarantined,
-			Departing:   !m.reclaimAt.IsZero() || m.suspected,
+			Departing:   !m.reclaimAt.IsZero() || m.suspected(),
 			IdleS:       o.idleTime(m).Seconds(),
 		}
 		if use.Quarantined || use.Departing || use.IdleS > minReportedIdleS {
