--- a/internal/core/owner/attempt.go
+++ b/internal/core/owner/attempt.go
@@ -24,15 +24,6 @@
 	attemptEnded    attemptState = wire.TaskEnded
 )
 
-// delivery says how the start of an attempt was sent.
-type delivery int
-
-const (
-	notSent           delivery = iota
-	inHeartbeatAnswer          // executed before the worker's next heartbeat, or never
-	byCommand                  // a direct command: without an answer it may be executed late
-)
-
 // attempt is one try at a task on one machine.
 type attempt struct {
 	job     *Job // nil: the task belongs to no job known here, and is to be halted
@@ -48,8 +39,7 @@
 
 	delivery         delivery
 	answeredSequence uint64 // inHeartbeatAnswer: the heartbeat that was answered
-	inFlight         bool   // byCommand: the command has no answer yet
-	voidFromToken    uint64 // byCommand: a worker that has seen this token ignores the start; 0: it was answered
+	voidFromToken    uint64 // commandUnconfirmed: a worker that has seen this token ignores the start
 
 	startedAt time.Time
 }
--- a/internal/core/owner/commands.go
+++ b/internal/core/owner/commands.go
@@ -94,14 +94,13 @@
 	m := a.machine
 	a.state, a.delivery = attemptSent, how
 	a.answeredSequence = m.sequence
-	a.inFlight = how == byCommand
 	a.voidFromToken = o.fencingToken(m) + 1
 }
 
 // mayForget reports whether the worker may forget an ended attempt: its completion is
 // stored and no copy of its start can still arrive.
 func (o *Owner) mayForget(a *attempt) bool {
-	if a.delivery == byCommand && (a.inFlight || (a.voidFromToken != 0 && a.machine.token < a.voidFromToken)) {
+	if a.commandMayArrive() {
 		return false
 	}
 	return a.job == nil || a.job.Ended || !a.job.isDone(a.index) || a.job.isStored(a.index)
@@ -163,7 +162,7 @@
 func (o *Owner) handleCommandResult(m *machine, started []*attempt, d eventloop.Completion) {
 	m.commandInFlight = false
 	for _, a := range started {
-		a.inFlight = false
+		a.endCommand()
 	}
 	if o.workers.machines[m.name] != m {
 		return
@@ -172,7 +171,7 @@
 	switch {
 	case d.Outcome == eventloop.Succeeded && hasStatus:
 		for _, a := range started {
-			a.voidFromToken = 0 // answered: no copy is in flight
+			a.confirmCommand()
 		}
 		o.observe(m, d.Heartbeat, statusInAnswer)
 	case d.Outcome == eventloop.Conflict || d.Outcome == eventloop.Rejected || d.Outcome == eventloop.NotSent:
--- a/internal/core/owner/observe.go
+++ b/internal/core/owner/observe.go
@@ -147,7 +147,7 @@
 			continue
 		}
 		// Otherwise it was killed with its agent epoch, or forgotten.
-		if !epochEnded && !a.reported && a.mayStillStart(m, hb, source) {
+		if !epochEnded && !a.reported && a.mayStillStart(hb, source) {
 			continue
 		}
 		o.dropAttempt(a)
@@ -156,15 +156,10 @@
 
 // mayStillStart reports whether the start of an attempt that its worker has never listed may
 // still be executed.
-func (a *attempt) mayStillStart(m *machine, hb *wire.Heartbeat, source heartbeatSource) bool {
-	switch a.delivery {
-	case inHeartbeatAnswer:
+func (a *attempt) mayStillStart(hb *wire.Heartbeat, source heartbeatSource) bool {
+	if a.delivery == inHeartbeatAnswer {
 		// The worker executes the answer, or drops it, before its next heartbeat.
 		return source != heartbeatReceived || hb.Sequence <= a.answeredSequence
-	case byCommand:
-		// A command without an answer may be executed until the worker has seen a higher token.
-		return a.inFlight || m.token < a.voidFromToken
-	default:
-		return false
 	}
+	return a.commandMayArrive()
 }
