--- a/internal/core/owner/completion_log.go
+++ b/internal/core/owner/completion_log.go
@@ -51,8 +51,7 @@
 
 	// The reads of all pages, see completion_read.go.
 	readsBegun uint64
-	reading    bool
-	loaded     bool // all pages were read at least once
+	reads      readState
 	nextRead   time.Time
 }
 
@@ -65,8 +64,7 @@
 	version       uint64      // 0: not stored yet
 	envelopeForm  int         // of the envelope that it is stored in
 	unknownFields wire.Fields // of a newer version of this program
-	unreadable    bool        // stored in a form that is not known here: left alone
-	writing       bool
+	state         pageState
 	pendingSince  time.Time // since when something waits to be stored; zero: nothing does
 	retryAt       time.Time
 	entries       map[string]int // with the bytes that each may take
@@ -75,7 +73,7 @@
 
 // due reports whether the page is to be written now.
 func (p *page) due(now time.Time) bool {
-	return !p.writing && !p.pendingSince.IsZero() && now.Sub(p.pendingSince) >= flushInterval && !now.Before(p.retryAt)
+	return p.state == pageIdle && !p.pendingSince.IsZero() && now.Sub(p.pendingSince) >= flushInterval && !now.Before(p.retryAt)
 }
 
 // pendingAtOnce has the page written as soon as its back-off is over.
@@ -166,7 +164,7 @@
 func (o *Owner) pageFor(size int) *page {
 	maxSize := o.PageBytes()
 	for _, p := range o.completions.pages {
-		if !p.unreadable && (p.size == 0 || p.size+size <= maxSize) {
+		if p.state != pageUnreadable && (p.size == 0 || p.size+size <= maxSize) {
 			return p
 		}
 	}
@@ -210,13 +208,13 @@
 		text[entry] = base64.RawStdEncoding.EncodeToString(raw)
 	}
 	value, form := o.pageValue(p, text)
-	p.writing, p.pendingSince = true, time.Time{}
+	p.state, p.pendingSince = pageWriting, time.Time{}
 	o.loop.Emit(eventloop.StateTxn{
 		// Under the version it was based on: a late transaction of an earlier process, or
 		// an earlier try, cannot take anything back.
 		Txn: wire.Txn{If: []wire.Condition{{Key: key, Version: p.version}}, Then: []wire.Op{{Put: key, Value: value}}},
 		ID: o.loop.OnCompletion(func(d eventloop.Completion) {
-			p.writing = false
+			p.state = pageIdle
 			if d.Outcome == eventloop.Succeeded {
 				p.version, p.envelopeForm = d.Txn.Revision, form
 				for entry, raw := range written {
@@ -252,9 +250,9 @@
 // verifyPage reads a page again whose write met another version or had no answer: the page
 // may be another's, or it is this one and only the answer was lost.
 func (o *Owner) verifyPage(key string, p *page, written map[string][]byte) {
-	p.writing = true
+	p.state = pageWriting
 	o.loop.Emit(eventloop.StateGet{Key: key, ID: o.loop.OnCompletion(func(d eventloop.Completion) {
-		p.writing = false
+		p.state = pageIdle
 		stored := false
 		switch d.Outcome {
 		case eventloop.Succeeded:
--- a/internal/core/owner/completion_log_test.go
+++ b/internal/core/owner/completion_log_test.go
@@ -95,8 +95,8 @@
 			t.Errorf("%s: %v, %v", name, entries, err)
 		}
 		o.adoptPage("fp/n0/0", 9, env, entries, err)
-		if p := o.completions.pages[0]; p.unreadable || p.version != 9 {
-			t.Errorf("%s: left alone: %v, version %d", name, p.unreadable, p.version)
+		if p := o.completions.pages[0]; p.state == pageUnreadable || p.version != 9 {
+			t.Errorf("%s: left alone: %v, version %d", name, p.state == pageUnreadable, p.version)
 		}
 	}
 }
--- a/internal/core/owner/completion_read.go
+++ b/internal/core/owner/completion_read.go
@@ -22,10 +22,10 @@
 // readPages reads all pages of all controllers for the jobs that wait for them: jobs taken
 // over, and all jobs after a start.
 func (o *Owner) readPages() {
-	if o.completions.reading || o.loop.Now.Before(o.completions.nextRead) || !o.needsPages() {
+	if o.completions.reads.inProgress() || o.loop.Now.Before(o.completions.nextRead) || !o.needsPages() {
 		return
 	}
-	o.completions.reading = true
+	o.completions.reads.begin()
 	o.completions.readsBegun++
 	o.readPagesAfter("", o.completions.readsBegun)
 }
@@ -33,7 +33,7 @@
 // needsPages reports whether the pages are to be read.
 func (o *Owner) needsPages() bool {
 	// The pages of an earlier process are known only once they have been read.
-	if !o.completions.loaded && o.view.FeatureOpen(feature.Envelope) {
+	if !o.completions.reads.loaded() && o.view.FeatureOpen(feature.Envelope) {
 		return true
 	}
 	for _, j := range o.jobs {
@@ -48,7 +48,7 @@
 func (o *Owner) readPagesAfter(after string, n uint64) {
 	o.loop.Emit(eventloop.StateRange{Prefix: PagePrefix, After: after, ID: o.loop.OnCompletion(func(d eventloop.Completion) {
 		if d.Outcome != eventloop.Succeeded {
-			o.completions.reading = false
+			o.completions.reads.fail()
 			o.completions.nextRead = o.loop.Now.Add(pageReadBackoff)
 			return
 		}
@@ -62,7 +62,7 @@
 			o.readPagesAfter(last, n)
 			return
 		}
-		o.completions.reading, o.completions.loaded = false, true
+		o.completions.reads.succeed()
 		o.finishPageRead(n)
 	})})
 }
@@ -143,7 +143,7 @@
 		o.completions.pages = append(o.completions.pages, &page{entries: map[string]int{}})
 	}
 	p := o.completions.pages[n]
-	if p.version != 0 || p.writing {
+	if p.version != 0 || p.state == pageWriting {
 		return // known already
 	}
 	p.version, p.envelopeForm, p.unknownFields = version, env.Form, env.Unknown
@@ -162,7 +162,7 @@
 // over it would lose what it says. Its entries go to another page.
 func (o *Owner) abandonPage(p *page) {
 	entries := cluster.SortedKeys(p.entries)
-	p.unreadable, p.pendingSince, p.entries, p.size = true, time.Time{}, map[string]int{}, 0
+	p.state, p.pendingSince, p.entries, p.size = pageUnreadable, time.Time{}, map[string]int{}, 0
 	for _, entry := range entries {
 		delete(o.completions.pageByEntry, entry)
 		id, n, ok := splitEntry(entry)
--- a/internal/core/owner/record_upgrade.go
+++ b/internal/core/owner/record_upgrade.go
@@ -208,7 +208,7 @@
 		return
 	}
 	for _, p := range o.completions.pages {
-		if p.version != 0 && p.envelopeForm < wire.EnvelopeForm && !p.unreadable && p.pendingSince.IsZero() && !p.writing {
+		if p.version != 0 && p.envelopeForm < wire.EnvelopeForm && p.state == pageIdle && p.pendingSince.IsZero() {
 			p.pendingSince = o.loop.Now
 		}
 	}
