--- a/internal/core/owner/commands.go
+++ b/internal/core/owner/commands.go
@@ -129,7 +129,7 @@
 
 // acceptsCommand reports whether a direct command may be sent to the machine now.
 func (o *Owner) acceptsCommand(m *machine) bool {
-	return !m.commandInFlight && !m.answeringHeartbeat && m.endpoint != "" && !o.loop.Now.Before(m.noCommandsBefore)
+	return m.commands.mayBeSent(o.loop.Now) && !m.answeringHeartbeat && m.endpoint != ""
 }
 
 // sendUrgent sends commands directly to a worker.
@@ -154,13 +154,13 @@
 // sendDirect sends a direct command unless that cannot be done by the deadline; done gets
 // its result.
 func (o *Owner) sendDirect(m *machine, body wire.Commands, deadline time.Time, done func(eventloop.Completion)) {
-	m.commandInFlight, m.commandSentAt = true, o.loop.Now
+	m.commands.begin(o.loop.Now)
 	o.loop.Emit(eventloop.WorkerCommands{Endpoint: m.endpoint, Until: deadline, Body: body, ID: o.loop.OnCompletion(done)})
 }
 
 // handleCommandResult applies the result of a direct command that started some attempts.
 func (o *Owner) handleCommandResult(m *machine, started []*attempt, d eventloop.Completion) {
-	m.commandInFlight = false
+	m.commands.end()
 	for _, a := range started {
 		a.endCommand()
 	}
@@ -180,13 +180,13 @@
 			o.adoptRaisedToken(m, d.Heartbeat.Token)
 			o.observe(m, d.Heartbeat, statusInAnswer)
 		}
-		m.noCommandsBefore = o.loop.Now.Add(rejectedCommandBackoff)
+		m.commands.pauseUntil(o.loop.Now.Add(rejectedCommandBackoff))
 	default:
 		// No answer: executed, or perhaps later. A higher token in the next answer to the
 		// worker's heartbeat rules out the latter.
 		o.raiseToken(m)
-		m.unansweredCommands++
-		m.noCommandsBefore = o.loop.Now.Add(config.Seconds(2 * o.view.Settings.Cluster.Workers.ReportS))
+		m.commands.markUnanswered()
+		m.commands.pauseUntil(o.loop.Now.Add(config.Seconds(2 * o.view.Settings.Cluster.Workers.ReportS)))
 	}
 	o.updateIdle(m)
 }
--- a/internal/core/owner/fencing.go
+++ b/internal/core/owner/fencing.go
@@ -34,9 +34,9 @@
 // that is answered now must not keep the agent epoch alive for a start that is still in
 // flight.
 func (o *Owner) fenceOverdueCommand(m *machine) {
-	if m.commandInFlight && !m.commandSentAt.IsZero() && o.loop.Now.Sub(m.commandSentAt) > DirectTimeout {
+	if m.commands.overdue(o.loop.Now) {
 		o.raiseToken(m)
-		m.commandSentAt = time.Time{}
+		m.commands.fence()
 	}
 }
 
--- a/internal/core/owner/fencing_test.go
+++ b/internal/core/owner/fencing_test.go
@@ -69,7 +69,7 @@
 	j := submitArray(o, "wk-000002", "standard", 1, 1, at)
 	o.loop.Begin(at)
 	o.bind(j, m)
-	m.noCommandsBefore = time.Time{}
+	m.commands.resume()
 	for _, e := range tick(o, at.Add(time.Second)) {
 		if d, ok := e.(eventloop.WorkerCommands); ok && len(d.Body.Commands) > 0 {
 			t.Errorf("%+v sent to a machine that may not receive it", d.Body)
--- a/internal/core/owner/health.go
+++ b/internal/core/owner/health.go
@@ -177,7 +177,7 @@
 	}
 	silent := config.Seconds(silentReports * workers.ReportS)
 	limit = min(limit, max(minSpotSilence, silent))
-	if m.unansweredCommands > 0 && z.spotReclaim() {
+	if m.commands.unanswered > 0 && z.spotReclaim() {
 		limit = min(limit, silent+DirectTimeout) // it does not answer probes either
 	}
 	if o.silence(m) > silent && !m.suspected() {
@@ -190,7 +190,7 @@
 // releaseIfDrained gives a draining machine back once it is known to run nothing. One that
 // has not reported since it was taken over may run tasks that are not known yet.
 func (o *Owner) releaseIfDrained(m *machine) {
-	if m.draining() && len(m.attempts) == 0 && !m.commandInFlight && !m.mayRunUnknownTasks() && m.agentEpoch != 0 {
+	if m.draining() && len(m.attempts) == 0 && !m.commands.inFlight() && !m.mayRunUnknownTasks() && m.agentEpoch != 0 {
 		m.state = machineReleased
 		o.blockLease.RequestRenewal()
 	}
--- a/internal/core/owner/machine.go
+++ b/internal/core/owner/machine.go
@@ -59,11 +59,8 @@
 	failedTasks map[string]bool // tasks, or faulty jobs, that failed on it since one last completed
 	reclaimAt   time.Time       // when the cloud takes it; zero: no notice
 
-	// Direct commands, see commands.go.
-	unansweredCommands int       // since it last acknowledged
-	commandInFlight    bool      // at most one at a time
-	commandSentAt      time.Time // zero once the token was raised for want of an answer
-	noCommandsBefore   time.Time
+	// Commands, see commands.go, and probes, see probe.go.
+	commands           directCommands
 	noTasksBefore      time.Time
 	answeringHeartbeat bool   // its commands go out with the answer
 	expectedEpoch      uint64 // of its agent, as far as others know
--- a/internal/core/owner/observe.go
+++ b/internal/core/owner/observe.go
@@ -58,7 +58,7 @@
 	if !m.hasShownToken() {
 		return
 	}
-	m.unansweredCommands = 0
+	m.commands.acknowledge()
 	if source != heartbeatReceived {
 		return
 	}
--- a/internal/core/owner/probe.go
+++ b/internal/core/owner/probe.go
@@ -96,7 +96,7 @@
 		o.workers.probesInFlight--
 		o.handleCommandResult(m, nil, d)
 		if d.Outcome == eventloop.Conflict && m.agentEpoch != 0 && m.agentEpoch != epoch {
-			m.noCommandsBefore = time.Time{} // the epoch was wrong, and is known now
+			m.commands.resume() // the epoch was wrong, and is known now
 		}
 		if d.Outcome == eventloop.Succeeded {
 			o.placement.due = true
