--- a/internal/core/owner/machine.go
+++ b/internal/core/owner/machine.go
@@ -52,20 +52,15 @@
 	images              []image
 	idleSince           time.Time // zero: it has tasks
 
-	// Health. A heartbeat ends suspected and unreachable. An unreachable machine may or may
-	// not have been suspected before: the leader is told of both.
+	// Health.
 	state       blockState
+	liveness    liveness
 	quarantined bool            // fails its tasks, see failure.go
 	failedTasks map[string]bool // tasks, or faulty jobs, that failed on it since one last completed
-	suspected   bool            // silent, and most likely reclaimed by the cloud
-	unreachable bool            // silent for too long; the leader may replace it
 	reclaimAt   time.Time       // when the cloud takes it; zero: no notice
 
-	// Direct commands, see commands.go.
-	unansweredCommands int       // since it last acknowledged
-	commandInFlight    bool      // at most one at a time
-	commandSentAt      time.Time // zero once the token was raised for want of an answer
-	noCommandsBefore   time.Time
+	// Commands, see commands.go, and probes, see probe.go.
+	commands           directCommands
 	noTasksBefore      time.Time
 	answeringHeartbeat bool   // its commands go out with the answer
 	expectedEpoch      uint64 // of its agent, as far as others know
--- a/internal/core/owner/probe.go
+++ b/internal/core/owner/probe.go
@@ -81,7 +81,7 @@
 
 // needsProbe reports whether a probe of the machine may tell something new.
 func (o *Owner) needsProbe(m *machine) bool {
-	return !m.released() && !m.unreachable && (m.agentEpoch == 0 || m.needsReconciliation || o.isSilent(m))
+	return !m.released() && !m.unreachable() && (m.agentEpoch == 0 || m.needsReconciliation || o.isSilent(m))
 }
 
 // probe asks a worker for its tasks.
@@ -96,7 +96,7 @@
 		o.workers.probesInFlight--
 		o.handleCommandResult(m, nil, d)
 		if d.Outcome == eventloop.Conflict && m.agentEpoch != 0 && m.agentEpoch != epoch {
-			m.noCommandsBefore = time.Time{} // the epoch was wrong, and is known now
+			m.commands.resume() // the epoch was wrong, and is known now
 		}
 		if d.Outcome == eventloop.Succeeded {
 			o.placement.due = true
