--- a/internal/core/blocklease/blocklease.go
+++ b/internal/core/blocklease/blocklease.go
@@ -73,12 +73,14 @@
 
 // Token returns what a machine of the block is to be sent. increment raises it above what
 // the same holder has sent it before.
-func (h *Holder) Token(increment uint64) uint64 { return h.grant<<counterBits + increment }
+func (h *Holder) Token(increment uint64) wire.FencingToken {
+	return wire.FencingToken(h.grant<<counterBits + increment)
+}
 
 // TokenIncrement returns what a token of this grant was raised by; ok is false for one of
 // another grant.
-func (h *Holder) TokenIncrement(token uint64) (increment uint64, ok bool) {
-	return token & (1<<counterBits - 1), h.grant != 0 && token>>counterBits == h.grant
+func (h *Holder) TokenIncrement(token wire.FencingToken) (increment uint64, ok bool) {
+	return uint64(token) & (1<<counterBits - 1), h.grant != 0 && uint64(token)>>counterBits == h.grant
 }
 
 // Attempt returns a number that no other attempt at any task has.
--- a/internal/core/blocklease/blocklease_test.go
+++ b/internal/core/blocklease/blocklease_test.go
@@ -43,7 +43,7 @@
 	last := uint64(0)
 	for grant := uint64(1 << 16); grant < 1<<16+3; grant++ {
 		h.Renewed(wire.Block{Grant: grant, Incarnation: 7})
-		if h.Token(0) <= last {
+		if uint64(h.Token(0)) <= last {
 			t.Fatalf("token %d after attempt %d", h.Token(0), last)
 		}
 		for range 1000 {
--- a/internal/core/owner/attempt.go
+++ b/internal/core/owner/attempt.go
@@ -47,9 +47,9 @@
 	counted  bool // in what its team uses
 
 	delivery         delivery
-	answeredSequence uint64 // inHeartbeatAnswer: the heartbeat that was answered
-	inFlight         bool   // byCommand: the command has no answer yet
-	voidFromToken    uint64 // byCommand: a worker that has seen this token ignores the start; 0: it was answered
+	answeredSequence uint64            // inHeartbeatAnswer: the heartbeat that was answered
+	inFlight         bool              // byCommand: the command has no answer yet
+	voidFromToken    wire.FencingToken // byCommand: a worker that has seen this token ignores the start; 0: it was answered
 
 	startedAt time.Time
 }
--- a/internal/core/owner/fencing.go
+++ b/internal/core/owner/fencing.go
@@ -2,6 +2,8 @@
 
 import (
 	"time"
+
+	"fawncove/internal/wire"
 )
 
 // Each message to a worker carries a fencing token. A worker ignores commands with a token
@@ -14,7 +16,9 @@
 const tokenRaiseInterval = 10 * time.Second
 
 // fencingToken returns the token with which messages to the machine are sent.
-func (o *Owner) fencingToken(m *machine) uint64 { return o.blockLease.Token(m.tokenIncrement) }
+func (o *Owner) fencingToken(m *machine) wire.FencingToken {
+	return o.blockLease.Token(m.tokenIncrement)
+}
 
 // hasShownToken reports whether the tokens in the worker's heartbeats prove that it receives
 // what this controller sends. A worker that receives no answers still sends heartbeats, to
@@ -42,7 +46,7 @@
 
 // adoptRaisedToken continues from a token that another controller has raised within this
 // grant, see raiseForeignToken.
-func (o *Owner) adoptRaisedToken(m *machine, token uint64) {
+func (o *Owner) adoptRaisedToken(m *machine, token wire.FencingToken) {
 	if token > o.fencingToken(m) && o.view.Params.Levels.KnowsLevels() {
 		if increment, ok := o.blockLease.TokenIncrement(token); ok {
 			m.tokenIncrement = increment
@@ -56,7 +60,7 @@
 // whenever it arrives. So the token is raised with the first answer, again when the worker
 // has reported to others in between, and every tokenRaiseInterval. What was sent before is
 // void then, and the owner continues from the higher token (adoptRaisedToken).
-func (o *Owner) raiseForeignToken(w *foreignWorker) uint64 {
+func (o *Owner) raiseForeignToken(w *foreignWorker) wire.FencingToken {
 	stayed := w.lastConsecutive.Equal(o.loop.Now)
 	if !stayed || o.loop.Now.Sub(w.tokenRaisedAt) >= tokenRaiseInterval {
 		w.token, w.tokenRaisedAt = max(w.token, w.heartbeat.Token)+1, o.loop.Now
--- a/internal/core/owner/foreign.go
+++ b/internal/core/owner/foreign.go
@@ -45,7 +45,7 @@
 	redirectedAt    time.Time // zero: never
 	pendingRequests []uint64  // heartbeats to be answered once the machine is in a block
 
-	token            uint64 // the highest it was answered with, see raiseForeignToken
+	token            wire.FencingToken // the highest it was answered with, see raiseForeignToken
 	tokenRaisedAt    time.Time
 	answeredSequence uint64    // the heartbeat that was last answered; 0: the newest was not
 	lastConsecutive  time.Time // when the heartbeat right after an answered one last came here
--- a/internal/core/owner/foreign_test.go
+++ b/internal/core/owner/foreign_test.go
@@ -65,7 +65,7 @@
 		o, now := newOwner(t, []config.Team{{Name: "free"}}, wire.LeaseRecord{Term: 3, Leader: "n1",
 			Blocks: map[string]wire.Block{"n1": {Grant: 5, Incarnation: 7, Machines: wire.NameSet{"host-000001"}}}, Partitions: map[string]string{"free": "n1"}})
 		o.view.Peers["n1"].AcceptsRaisedTokens = follows
-		first := uint64(5 << 24)
+		first := wire.FencingToken(5 << 24)
 		token, seq := first, uint64(10)
 		for i, c := range []struct {
 			after  time.Duration
--- a/internal/core/owner/heartbeat.go
+++ b/internal/core/owner/heartbeat.go
@@ -68,7 +68,7 @@
 
 // answerHeartbeat answers a heartbeat, which renews the worker's lease, unless the answer
 // cannot be sent by the deadline.
-func (o *Owner) answerHeartbeat(req uint64, deadline time.Time, token uint64, commands []wire.Command) {
+func (o *Owner) answerHeartbeat(req uint64, deadline time.Time, token wire.FencingToken, commands []wire.Command) {
 	o.loop.Emit(eventloop.Reply{Req: req, Code: eventloop.ReplyOK, Until: deadline,
 		Body: wire.HeartbeatAnswer{Token: token, Commands: commands}})
 }
--- a/internal/core/owner/helpers_test.go
+++ b/internal/core/owner/helpers_test.go
@@ -87,7 +87,7 @@
 }
 
 // heartbeatOf returns a heartbeat of a machine of type s4 in zone x.
-func heartbeatOf(m *machine, agentEpoch, sequence, token uint64, tasks ...wire.TaskStatus) wire.Heartbeat {
+func heartbeatOf(m *machine, agentEpoch, sequence uint64, token wire.FencingToken, tasks ...wire.TaskStatus) wire.Heartbeat {
 	return wire.Heartbeat{Machine: m.name, Endpoint: "e", Type: "s4", Zone: "x", AgentEpoch: agentEpoch, Sequence: sequence, Token: token, Tasks: tasks}
 }
 
--- a/internal/core/owner/machine.go
+++ b/internal/core/owner/machine.go
@@ -39,11 +39,11 @@
 	lastHeartbeat time.Time // of one that proves that the worker is alive
 
 	// Fencing, see fencing.go.
-	token          uint64    // highest that the worker has reported
-	tokenIncrement uint64    // raises this machine's token above earlier starts
-	firstToken     uint64    // first token of this block lease; a heartbeat below it may be a copy of any age
-	minAckToken    uint64    // token that the worker has to show to count as one that receives commands
-	lastAnswered   time.Time // when a heartbeat of this agent epoch was last answered here
+	token          wire.FencingToken // highest that the worker has reported
+	tokenIncrement uint64            // raises this machine's token above earlier starts
+	firstToken     wire.FencingToken // first token of this block lease; a heartbeat below it may be a copy of any age
+	minAckToken    wire.FencingToken // token that the worker has to show to count as one that receives commands
+	lastAnswered   time.Time         // when a heartbeat of this agent epoch was last answered here
 
 	// What it runs.
 	attempts            map[attemptKey]*attempt
--- a/internal/core/owner/registry.go
+++ b/internal/core/owner/registry.go
@@ -4,6 +4,8 @@
 	"slices"
 	"strings"
 	"time"
+
+	"fawncove/internal/wire"
 )
 
 // workerRegistry is the set of workers that this controller hears: the machines of its
@@ -14,8 +16,8 @@
 	sortStale bool
 	foreign   map[string]*foreignWorker
 
-	lastHeartbeat time.Time // of any machine of the block
-	highestToken  uint64    // that any worker has shown
+	lastHeartbeat time.Time         // of any machine of the block
+	highestToken  wire.FencingToken // that any worker has shown
 
 	urgent          map[string]bool      // machines with commands that should not wait for a heartbeat
 	toProbe         map[string]bool      // machines to be asked for their tasks
@@ -74,7 +76,7 @@
 func (o *Owner) MachineCount() int { return len(o.workers.machines) }
 
 // HighestToken returns the highest fencing token that any worker has shown here.
-func (o *Owner) HighestToken() uint64 { return o.workers.highestToken }
+func (o *Owner) HighestToken() wire.FencingToken { return o.workers.highestToken }
 
 // UnreconciledMachines returns how many machines may run tasks that are not known here.
 func (o *Owner) UnreconciledMachines() int {
--- a/internal/core/recovery/lease.go
+++ b/internal/core/recovery/lease.go
@@ -26,8 +26,8 @@
 	Shares map[string]wire.Shares `msgpack:"shares"`
 	// Machines report there, whoever holds them, and Token is the highest that a worker
 	// has shown.
-	Machines wire.NameSet `msgpack:"machines"`
-	Token    uint64       `msgpack:"token"`
+	Machines wire.NameSet      `msgpack:"machines"`
+	Token    wire.FencingToken `msgpack:"token"`
 }
 
 // ViewOf returns what a lease value says; the zero value says nothing.
@@ -36,7 +36,7 @@
 }
 
 // TermOfToken returns the term that a token was made in.
-func TermOfToken(token uint64) uint64 { return token >> (tokenBits + grantBits) }
+func TermOfToken(token wire.FencingToken) uint64 { return uint64(token) >> (tokenBits + grantBits) }
 
 // MergeLease merges lease values, from before the loss and as found, into the one that the
 // state goes on with. Its leader, node, holds all machines that any of them names, as
--- a/internal/core/recovery/recovery_test.go
+++ b/internal/core/recovery/recovery_test.go
@@ -76,7 +76,7 @@
 		Shares: map[string]wire.Shares{"red": {"n1": {CPUs: 10}, "n2": {CPUs: 20}}}}
 	found := &wire.LeaseRecord{Term: 4, Sequence: 20, Form: 2, Partitions: map[string]string{"red": "n2", "blue": "n2"},
 		Blocks: map[string]wire.Block{"n2": {Machines: wire.NameSet{"host-4", "host-1"}}}}
-	const token = (uint64(12)<<16+5)<<24 + 99 // made in term 12, which neither value knows
+	const token = (wire.FencingToken(12)<<16+5)<<24 + 99 // made in term 12, which neither value knows
 	a, b1 := ViewOf(*before), ViewOf(*found)
 	b1.Token, b1.Machines = token, wire.NameSet{"host-5"}
 	raw, err := wire.Encode(a) // as it goes to another controller
@@ -92,7 +92,7 @@
 		t.Errorf("%+v", got)
 	}
 	b := got.Blocks["n0"]
-	if len(got.Blocks) != 1 || len(b.Machines) != 0 || strings.Join(b.Unreconciled, " ") != "host-1 host-2 host-3 host-4 host-5" || b.Incarnation != 77 || b.Grant<<24 <= token {
+	if len(got.Blocks) != 1 || len(b.Machines) != 0 || strings.Join(b.Unreconciled, " ") != "host-1 host-2 host-3 host-4 host-5" || b.Incarnation != 77 || wire.FencingToken(b.Grant<<24) <= token {
 		t.Errorf("block %+v", b)
 	}
 	if len(got.Partitions) != 3 || got.Partitions["red #2"] != "n0" || len(got.Shares["red"]) != 1 || got.Shares["red"]["n0"].CPUs != 30 {
--- a/internal/testkit/simtest/actors.go
+++ b/internal/testkit/simtest/actors.go
@@ -60,9 +60,9 @@
 	up, gone       bool
 	born, died     time.Duration
 	session, seq   uint64
-	token          uint64
-	most           uint64        // highest token that any process of it has seen
-	lease          time.Duration // sending time of the last answered report
+	token          wire.FencingToken
+	most           wire.FencingToken // highest token that any process of it has seen
+	lease          time.Duration     // sending time of the last answered report
 	tasks          []*simTask
 	node           int
 	busy           bool // a report is in flight
@@ -244,7 +244,7 @@
 }
 
 // accept takes commands that carry a valid token.
-func (k *worker) accept(token uint64, cmds []wire.Command) {
+func (k *worker) accept(token wire.FencingToken, cmds []wire.Command) {
 	if token > k.token {
 		k.token, k.most, k.changed = token, max(k.most, token), true
 	}
--- a/internal/testkit/simtest/duo_test.go
+++ b/internal/testkit/simtest/duo_test.go
@@ -78,7 +78,7 @@
 	d              *duo
 	name, endpoint string
 	session, seq   uint64
-	token          uint64
+	token          wire.FencingToken
 	tasks          []wire.TaskStatus
 	reports        int           // the controller that it reports to
 	lease          time.Duration // when it last reported and was answered
@@ -445,7 +445,7 @@
 }
 
 // obey carries out commands of a controller.
-func (m *duoMachine) obey(by int, token uint64, commands []wire.Command) {
+func (m *duoMachine) obey(by int, token wire.FencingToken, commands []wire.Command) {
 	m.token = max(m.token, token)
 	m.told = sum(m.told, token, len(commands))
 	for _, c := range commands {
--- a/internal/wire/workers.go
+++ b/internal/wire/workers.go
@@ -12,7 +12,7 @@
 	AgentEpoch uint64 `msgpack:"smjena"`
 	Sequence   uint64 `msgpack:"redni"`
 	// Token is the highest fencing token that the worker has seen.
-	Token uint64 `msgpack:"palica"`
+	Token FencingToken `msgpack:"palica"`
 	// NoticeS is how many seconds are left until the cloud takes the machine; nil: no
 	// notice.
 	NoticeS *float64     `msgpack:"najavaS"`
@@ -69,8 +69,8 @@
 
 // HeartbeatAnswer accepts a heartbeat, which renews the worker's lease.
 type HeartbeatAnswer struct {
-	Token    uint64    `msgpack:"palica"`
-	Commands []Command `msgpack:"naredbe"`
+	Token    FencingToken `msgpack:"palica"`
+	Commands []Command    `msgpack:"naredbe"`
 }
 
 // Redirect sends a worker to another controller; empty: to any other.
@@ -80,7 +80,7 @@
 
 // Commands is sent to a worker directly. It does not renew the worker's lease.
 type Commands struct {
-	Token      uint64    `msgpack:"palica"`
-	AgentEpoch uint64    `msgpack:"smjena"`
-	Commands   []Command `msgpack:"naredbe"`
+	Token      FencingToken `msgpack:"palica"`
+	AgentEpoch uint64       `msgpack:"smjena"`
+	Commands   []Command    `msgpack:"naredbe"`
 }
