--- a/internal/core/blocklease/blocklease.go
+++ b/internal/core/blocklease/blocklease.go
@@ -21,14 +21,11 @@
 	"fawncove/internal/wire"
 )
 
-// counterBits is how many bits of a token or an attempt count within a grant.
-const counterBits = 24
-
 // Holder is one controller's right to its block. Use New: the zero value is of no use.
 type Holder struct {
 	duration    time.Duration // of a block lease
 	incarnation uint64
-	grant       uint64 // 0: no block
+	grant       wire.Grant // 0: no block
 	expiresAt   time.Time
 	attempts    uint64 // numbered under this grant
 
@@ -63,7 +60,7 @@
 func (h *Holder) Held() bool { return h.grant != 0 }
 
 // Grant returns the number under which the block is held; 0 when there is none.
-func (h *Holder) Grant() uint64 { return h.grant }
+func (h *Holder) Grant() wire.Grant { return h.grant }
 
 // Expires returns the moment from which on nothing may be started any more.
 func (h *Holder) Expires() time.Time { return h.expiresAt }
@@ -73,20 +70,18 @@
 
 // Token returns what a machine of the block is to be sent. increment raises it above what
 // the same holder has sent it before.
-func (h *Holder) Token(increment uint64) wire.FencingToken {
-	return wire.FencingToken(h.grant<<counterBits + increment)
-}
+func (h *Holder) Token(increment uint64) wire.FencingToken { return h.grant.Token(increment) }
 
 // TokenIncrement returns what a token of this grant was raised by; ok is false for one of
 // another grant.
 func (h *Holder) TokenIncrement(token wire.FencingToken) (increment uint64, ok bool) {
-	return uint64(token) & (1<<counterBits - 1), h.grant != 0 && uint64(token)>>counterBits == h.grant
+	return token.Increment(), h.grant != 0 && token.Grant() == h.grant
 }
 
 // Attempt returns a number that no other attempt at any task has.
 func (h *Holder) Attempt() uint64 {
 	h.attempts++
-	return h.grant<<counterBits + h.attempts
+	return h.grant.Attempt(h.attempts)
 }
 
 // NextRenewal returns the number that the renewal sent next will have.
--- a/internal/core/blocklease/blocklease_test.go
+++ b/internal/core/blocklease/blocklease_test.go
@@ -41,7 +41,7 @@
 func TestTokensAndAttemptsAreNeverReused(t *testing.T) {
 	h := New(7, 20*time.Second)
 	last := uint64(0)
-	for grant := uint64(1 << 16); grant < 1<<16+3; grant++ {
+	for grant := wire.Grant(1 << 16); grant < 1<<16+3; grant++ {
 		h.Renewed(wire.Block{Grant: grant, Incarnation: 7})
 		if uint64(h.Token(0)) <= last {
 			t.Fatalf("token %d after attempt %d", h.Token(0), last)
--- a/internal/core/controller/bench_test.go
+++ b/internal/core/controller/bench_test.go
@@ -42,7 +42,7 @@
 		Blocks: map[string]wire.Block{}, Shares: map[string]wire.Shares{"red": {}}}
 	for i := range 5 {
 		node := fmt.Sprintf("n%d", i)
-		blk := wire.Block{Grant: 3<<16 + uint64(i), Incarnation: 7}
+		blk := wire.Block{Grant: 3<<16 + wire.Grant(i), Incarnation: 7}
 		for k := i * 50; k < n; k += 250 {
 			for m := k; m < min(n, k+50); m++ {
 				blk.Machines = append(blk.Machines, fmt.Sprintf("host-%06d", m))
--- a/internal/core/leader/quota.go
+++ b/internal/core/leader/quota.go
@@ -18,7 +18,7 @@
 // made under another grant knows nothing of the machines, and the tasks on them, that
 // came with this one.
 func (l *Leader) applyReservations(rec *wire.LeaseRecord, node string, r *peerpb.Renewal) {
-	if r.GetGrant() == 0 || r.GetGrant() != rec.Blocks[node].Grant {
+	if grant := grantOf(r); grant == 0 || grant != rec.Blocks[node].Grant {
 		return
 	}
 	for _, reservation := range r.GetReservations() {
--- a/internal/core/leader/renewals.go
+++ b/internal/core/leader/renewals.go
@@ -77,7 +77,7 @@
 		p.released[node] = map[string]bool{}
 		// A machine that was released under an earlier grant may be in the block again,
 		// with tasks.
-		if r.GetGrant() != p.record.Blocks[node].Grant {
+		if grantOf(r) != p.record.Blocks[node].Grant {
 			continue
 		}
 		for _, name := range l.unpackNames(r.GetReleased()) {
@@ -102,6 +102,9 @@
 	p.record.Blocks[node] = block
 }
 
+// grantOf returns the grant under which the sender of a renewal held its block; 0: none.
+func grantOf(r *peerpb.Renewal) wire.Grant { return wire.Grant(r.GetGrant()) }
+
 // decodeDemands decodes the waiting tasks of a renewal.
 func decodeDemands(r *peerpb.Renewal) []sched.Demand {
 	var out []sched.Demand
--- a/internal/core/leader/renewals_test.go
+++ b/internal/core/leader/renewals_test.go
@@ -20,7 +20,7 @@
 	// publish stores the next lease record and returns the holder of the instance in it.
 	publish := func(own *peerpb.Renewal) string {
 		own.Node, own.Incarnation, own.Number = "n0", 7, l.view.Lease.Blocks["n0"].Renewal+1
-		own.Grant = l.view.Lease.Blocks["n0"].Grant
+		own.Grant = uint64(l.view.Lease.Blocks["n0"].Grant)
 		rec, stored := l.Publish(own)
 		stored()
 		version++
@@ -42,7 +42,7 @@
 		t.Errorf("renewal of an earlier grant: holder = %q, deleting = %v, want n1 and false", got, l.autoscaler.deleting["host-000001"])
 	}
 	grant := l.view.Lease.Blocks["n1"].Grant
-	l.HandleRenewal(&peerpb.Renewal{Node: "n1", Incarnation: 9, Number: 2, Grant: grant, Released: wire.PackNames([]string{"host-000001"})})
+	l.HandleRenewal(&peerpb.Renewal{Node: "n1", Incarnation: 9, Number: 2, Grant: uint64(grant), Released: wire.PackNames([]string{"host-000001"})})
 	if got := publish(&peerpb.Renewal{}); got != "" || !l.autoscaler.deleting["host-000001"] {
 		t.Errorf("released under the current grant: holder = %q, deleting = %v, want none and true", got, l.autoscaler.deleting["host-000001"])
 	}
--- a/internal/core/leader/takeover.go
+++ b/internal/core/leader/takeover.go
@@ -88,8 +88,8 @@
 
 // nextGrant returns a number for a new grant. It only ever rises, with the term in its
 // upper bits, since tokens and attempts are made of it.
-func nextGrant(rec *wire.LeaseRecord) uint64 {
-	rec.LastGrant = max(rec.LastGrant+1, rec.Term<<16)
+func nextGrant(rec *wire.LeaseRecord) wire.Grant {
+	rec.LastGrant = max(rec.LastGrant+1, wire.FirstGrant(rec.Term))
 	return rec.LastGrant
 }
 
--- a/internal/core/leasevalue/leasevalue_test.go
+++ b/internal/core/leasevalue/leasevalue_test.go
@@ -95,7 +95,7 @@
 		Blocks: map[string]wire.Block{}, Partitions: map[string]string{}, Waiting: map[string]int{"small": 1200, "middle": 4400, "large": 900},
 		Shares: map[string]wire.Shares{}}
 	for i := range controllers {
-		rec.Blocks[fmt.Sprintf("stall-%d", i)] = wire.Block{Grant: 7<<16 + uint64(i), Incarnation: 1764000000000, Renewal: 123456}
+		rec.Blocks[fmt.Sprintf("stall-%d", i)] = wire.Block{Grant: 7<<16 + wire.Grant(i), Incarnation: 1764000000000, Renewal: 123456}
 	}
 	for k := range 5 {
 		team := fmt.Sprintf("team-%d", k)
--- a/internal/core/owner/quota_share.go
+++ b/internal/core/owner/quota_share.go
@@ -157,7 +157,7 @@
 // controller from now on, whether or not the leader ever reads them.
 func (o *Owner) AddOffers(r *peerpb.Renewal) {
 	sparable := o.sparableShares()
-	r.Grant = o.blockLease.Grant()
+	r.Grant = uint64(o.blockLease.Grant())
 	for _, team := range cluster.SortedKeys(sparable) {
 		s := sparable[team]
 		o.blockLease.Reserve(r.GetNumber(), team, s)
--- a/internal/core/recovery/lease.go
+++ b/internal/core/recovery/lease.go
@@ -7,15 +7,9 @@
 	"fawncove/internal/wire"
 )
 
-const (
-	// termGap is how far the term after a recovery lies above the highest that was seen.
-	// A term takes seconds, and nobody recovers minutes after everybody else.
-	termGap = 256
-	// grantBits is how many bits of a grant number count within a term, and
-	// tokenBits how many of a token count within a grant (package blocklease).
-	grantBits = 16
-	tokenBits = 24
-)
+// termGap is how far the term after a recovery lies above the highest that was seen.
+// A term takes seconds, and nobody recovers minutes after everybody else.
+const termGap = 256
 
 // View is what one controller knows of leases and machines.
 type View struct {
@@ -35,9 +29,6 @@
 	return View{Lease: rec, Form: rec.Form, Levels: [2]uint32{rec.Level, rec.Confirmed}, Shares: rec.Shares}
 }
 
-// TermOfToken returns the term that a token was made in.
-func TermOfToken(token wire.FencingToken) uint64 { return uint64(token) >> (tokenBits + grantBits) }
-
 // MergeLease merges lease values, from before the loss and as found, into the one that the
 // state goes on with. Its leader, node, holds all machines that any of them names, as
 // those of holders that ended, all partitions and all quota shares. limit returns the
@@ -64,14 +55,14 @@
 	}
 	out.Term += termGap
 	out.Sequence++
-	out.LastGrant = out.Term << grantBits
+	out.LastGrant = wire.FirstGrant(out.Term)
 	out.Blocks[node] = wire.Block{Grant: out.LastGrant, Incarnation: incarnation, Unreconciled: slices.Sorted(maps.Keys(machines))}
 	return out
 }
 
 // mergeCounters raises what only ever rises to what a view shows.
 func mergeCounters(out *wire.LeaseRecord, view *View) {
-	out.Term = max(out.Term, view.Lease.Term, TermOfToken(view.Token))
+	out.Term = max(out.Term, view.Lease.Term, view.Token.Grant().Term())
 	out.Sequence = max(out.Sequence, view.Lease.Sequence)
 	out.Form = max(out.Form, view.Form)
 	out.Level, out.Confirmed = max(out.Level, view.Levels[0]), max(out.Confirmed, view.Levels[1])
--- a/internal/testkit/simtest/duo_test.go
+++ b/internal/testkit/simtest/duo_test.go
@@ -106,7 +106,7 @@
 	d.w.writes = 1e6
 	blocks := map[string]wire.Block{}
 	for i := range d.nodes {
-		b := wire.Block{Grant: 1<<16 + uint64(i), Incarnation: 7}
+		b := wire.Block{Grant: 1<<16 + wire.Grant(i), Incarnation: 7}
 		for k, holder := range holders {
 			if holder == i {
 				b.Machines = append(b.Machines, fmt.Sprintf("host-%06d", k+1))
--- a/internal/testkit/simtest/fleet.go
+++ b/internal/testkit/simtest/fleet.go
@@ -30,7 +30,7 @@
 // was kept for the next leader then arrives at all controllers within a millisecond: at
 // once, when they have read the value, or seconds later; and once more with the next
 // grant, when a block has changed hands. Nobody reads the answers.
-func (w *World) ledBy(leader string, grants uint64) {
+func (w *World) ledBy(leader string, grants wire.Grant) {
 	n := &w.night
 	next := n.leader != "" && n.leader != leader
 	again := len(n.copied) > 0 && grants != n.grants
--- a/internal/testkit/simtest/night.go
+++ b/internal/testkit/simtest/night.go
@@ -46,7 +46,7 @@
 	kept     []wire.Heartbeat
 	copied   []wire.Heartbeat // have come to the next leader, and come once more
 	leader   string           // by the value stored last
-	grants   uint64           // in it
+	grants   wire.Grant       // in it
 }
 
 // mustTell tells whether a controller may alone know of what the state has lost: with
--- a/internal/testkit/simtest/services.go
+++ b/internal/testkit/simtest/services.go
@@ -345,7 +345,7 @@
 	var v struct {
 		Level  uint32           `msgpack:"level"`
 		Leader string           `msgpack:"leader"`
-		Grants uint64           `msgpack:"grants"`
+		Grants wire.Grant       `msgpack:"grants"`
 		CPUs   map[string][]int `msgpack:"cpus"` // the controllers' shares of each team's limit
 	}
 	if err := wire.Decode(data, &v); err != nil {
--- a/internal/wire/ids.go
+++ b/internal/wire/ids.go
@@ -6,5 +6,37 @@
 
 // FencingToken orders the messages to a worker. A worker ignores commands with a token below
 // the highest that it has seen. A token is made of the grant of a block lease and a counter
-// within it, see package blocklease.
+// within it, see Grant.Token.
 type FencingToken uint64
+
+// Grant is the number under which a controller holds its block. It rises with every holder
+// and every process of a holder: no two grants of any blocks are equal.
+type Grant uint64
+
+const (
+	// grantBits is how many bits of a grant count within a term.
+	grantBits = 16
+	// counterBits is how many bits of a token or an attempt count within a grant.
+	counterBits = 24
+)
+
+// FirstGrant returns the lowest grant of a term.
+func FirstGrant(term uint64) Grant { return Grant(term << grantBits) }
+
+// Term returns the term in which the grant was given.
+func (g Grant) Term() uint64 { return uint64(g) >> grantBits }
+
+// Token returns the token of the grant with this increment.
+func (g Grant) Token(increment uint64) FencingToken { return FencingToken(g.number(increment)) }
+
+// Attempt returns the number of the attempt that is the nth under the grant.
+func (g Grant) Attempt(n uint64) uint64 { return g.number(n) }
+
+// number returns a number that no other grant makes of any counter.
+func (g Grant) number(counter uint64) uint64 { return uint64(g)<<counterBits + counter }
+
+// Grant returns the grant that the token was made of.
+func (t FencingToken) Grant() Grant { return Grant(t >> counterBits) }
+
+// Increment returns by how much the token lies above the first of its grant.
+func (t FencingToken) Increment() uint64 { return uint64(t) & (1<<counterBits - 1) }
--- a/internal/wire/state.go
+++ b/internal/wire/state.go
@@ -111,7 +111,7 @@
 	Leader      string `msgpack:"leader"`
 	Incarnation uint64 `msgpack:"inc"` // of the leader's process
 	// LastGrant is the highest grant given to a block.
-	LastGrant uint64 `msgpack:"grants"`
+	LastGrant Grant `msgpack:"grants"`
 	// Sequence counts the writes of the value.
 	Sequence uint64           `msgpack:"beat"`
 	Blocks   map[string]Block `msgpack:"blocks"` // by controller
@@ -223,7 +223,7 @@
 
 // Block is a controller's block lease.
 type Block struct {
-	Grant       uint64 `msgpack:"grant"`
+	Grant       Grant  `msgpack:"grant"`
 	Incarnation uint64 `msgpack:"inc"`
 	// Renewal is the newest renewal that the value acknowledges.
 	Renewal  uint64  `msgpack:"renewal"`
