--- a/internal/core/cluster/cluster.go
+++ b/internal/core/cluster/cluster.go
@@ -93,7 +93,7 @@
 	// Lease is the lease value as last read whole, and LeaseVersion its version; 0 means
 	// that none has been read.
 	Lease        wire.LeaseRecord
-	LeaseVersion uint64
+	LeaseVersion wire.Revision
 	IsLeader     bool // this controller leads
 	// LeaseValueBytes is the size of the lease value that this controller wrote last,
 	// without pages.
@@ -110,7 +110,7 @@
 // Stored is a value of the state service; version 0 says that there is none.
 type Stored[T any] struct {
 	Value   T
-	Version uint64
+	Version wire.Revision
 }
 
 // New returns the view of the controller described by cfg, before it has read or received
@@ -126,7 +126,7 @@
 
 // ApplyLease makes a newer lease value the current one. Blocks that did not change cost a
 // comparison only: the value is written often and is long.
-func (v *View) ApplyLease(rec wire.LeaseRecord, version uint64) {
+func (v *View) ApplyLease(rec wire.LeaseRecord, version wire.Revision) {
 	before, after := v.Lease.Blocks, rec.Blocks
 	v.Lease, v.LeaseVersion = rec, version
 	for node, old := range before {
--- a/internal/core/cluster/peer.go
+++ b/internal/core/cluster/peer.go
@@ -46,7 +46,7 @@
 	StateLost     bool
 	StateRestored bool
 	RecoveryView  *recovery.View
-	Revision      uint64 // the highest that the state service has shown it
+	Revision      wire.Revision // the highest that the state service has shown it
 
 	// FreshnessRequest is its newest request, and CancellationsKnownUntil the moment up to
 	// which it has answered no cancellation that is not known here; see cancellations.go
--- a/internal/core/controller/bench_test.go
+++ b/internal/core/controller/bench_test.go
@@ -102,7 +102,7 @@
 	for i, name := range c.view.Lease.Blocks["n0"].Machines {
 		if i%25 == 0 {
 			c.applyJob(wire.JobRecord{Job: wire.Job{ID: fmt.Sprintf("wk-%06d", i), Class: "c", Team: "red", Shape: wire.Array, Priority: "standard",
-				Tasks: 150, CPUs: 4, MemoryGB: 4, Spot: true, EstimateS: 60, Image: "img", ImageGB: 1}, Shard: wire.ShardName("red", 1)}, owner.RecordInfo{Version: uint64(10 + i)})
+				Tasks: 150, CPUs: 4, MemoryGB: 4, Spot: true, EstimateS: 60, Image: "img", ImageGB: 1}, Shard: wire.ShardName("red", 1)}, owner.RecordInfo{Version: wire.Revision(10 + i)})
 		}
 		c.owner.HandleHeartbeat(eventloop.HeartbeatRequest{Req: uint64(i), Heartbeat: wire.Heartbeat{Machine: name, Endpoint: "10.0.0.1:9000", Type: "b8", Zone: "x", Spot: true, AgentEpoch: 1, Sequence: 1}})
 	}
@@ -137,7 +137,7 @@
 // BenchmarkApply applies a lease value in which one block has changed.
 func BenchmarkApply(b *testing.B) {
 	atSizes(b, func(b *testing.B, c *Core, _ time.Time, _ int) {
-		for version := uint64(1000); b.Loop(); version++ {
+		for version := wire.Revision(1000); b.Loop(); version++ {
 			rec := c.view.Lease.Clone()
 			blk := rec.Blocks["n1"]
 			blk.Machines = slices.Clone(blk.Machines)
--- a/internal/core/controller/cancellations.go
+++ b/internal/core/controller/cancellations.go
@@ -5,6 +5,7 @@
 
 	"fawncove/internal/core/cluster"
 	"fawncove/internal/peerpb"
+	"fawncove/internal/wire"
 )
 
 // Workers are answered, which keeps their tasks alive, only while no cancellation that
@@ -26,13 +27,13 @@
 
 // cancellationProof is this controller's part in the proof.
 type cancellationProof struct {
-	answeredRevision uint64 // no cancellation beyond it has been answered from here
-	requests         uint64 // sent so far
+	answeredRevision wire.Revision // no cancellation beyond it has been answered from here
+	requests         uint64        // sent so far
 	sentAt           [maxFreshnessRequests]time.Time
 }
 
 // mayHaveAnswered notes that a cancellation of a revision may be answered from here.
-func (p *cancellationProof) mayHaveAnswered(revision uint64) {
+func (p *cancellationProof) mayHaveAnswered(revision wire.Revision) {
 	p.answeredRevision = max(p.answeredRevision, revision)
 }
 
@@ -58,7 +59,7 @@
 	if !c.view.Params.Levels.KnowsLevels() || !c.state.loaded() || c.recovery != nil {
 		return
 	}
-	f.FreshnessRequest, f.CancelledRevision = c.cancellations.nextRequest(c.loop.Now), c.cancellations.answeredRevision
+	f.FreshnessRequest, f.CancelledRevision = c.cancellations.nextRequest(c.loop.Now), uint64(c.cancellations.answeredRevision)
 	for _, name := range cluster.SortedKeys(c.view.Peers) {
 		if p := c.view.Peers[name]; p.FreshnessRequest > 0 {
 			f.FreshnessReplies = append(f.FreshnessReplies, &peerpb.FreshnessReply{To: name, Incarnation: p.Incarnation, Request: p.FreshnessRequest})
@@ -93,7 +94,7 @@
 	if !c.state.loaded() || c.recovery != nil || f.GetStateLost() || f.GetGeneration() != c.generation() {
 		return false
 	}
-	return f.GetCancelledRevision() > 0 && f.GetCancelledRevision() <= c.state.revision
+	return f.GetCancelledRevision() > 0 && wire.Revision(f.GetCancelledRevision()) <= c.state.revision
 }
 
 // cancellationsKnownUntil returns up to which moment every cancellation that any peer
--- a/internal/core/controller/generation.go
+++ b/internal/core/controller/generation.go
@@ -30,7 +30,7 @@
 
 // applyGeneration applies the generation of the state. One that is newer, or that is
 // being recovered, says that the state has lost data.
-func (c *Core) applyGeneration(value []byte, version uint64) {
+func (c *Core) applyGeneration(value []byte, version wire.Revision) {
 	if version <= c.storedGeneration.Version {
 		return
 	}
@@ -60,7 +60,7 @@
 	}
 	r := c.recovery
 	if r == nil {
-		f.Generation, f.Revision = c.generation(), c.loop.HighestRevision()
+		f.Generation, f.Revision = c.generation(), uint64(c.loop.HighestRevision())
 		return
 	}
 	f.Generation, f.StateLost, f.StateRestored = r.generation, true, r.restored
--- a/internal/core/controller/lease_apply.go
+++ b/internal/core/controller/lease_apply.go
@@ -6,7 +6,7 @@
 
 // applyLease makes a newer lease value the current one, with what it means for this
 // controller's leadership and block.
-func (c *Core) applyLease(rec wire.LeaseRecord, version uint64) {
+func (c *Core) applyLease(rec wire.LeaseRecord, version wire.Revision) {
 	if version <= c.view.LeaseVersion || c.recovery != nil {
 		return
 	}
--- a/internal/core/controller/lease_read.go
+++ b/internal/core/controller/lease_read.go
@@ -25,13 +25,13 @@
 	pages             leasevalue.PageTable
 	incomplete        *wire.Pair // a newer value of which pages are missing; nil if there is none
 	incompleteSince   time.Time
-	inFlight          bool   // value or pages are being read
-	unreadableVersion uint64 // of the last value that could not be decoded
+	inFlight          bool          // value or pages are being read
+	unreadableVersion wire.Revision // of the last value that could not be decoded
 }
 
 // supersede drops the incomplete value if one of these versions replaces it. It returns
 // since when a value has been waiting for pages: now, if none was.
-func (r *leaseReader) supersede(now time.Time, applied, arrived uint64) (since time.Time) {
+func (r *leaseReader) supersede(now time.Time, applied, arrived wire.Revision) (since time.Time) {
 	if r.incomplete == nil {
 		return now
 	}
@@ -84,7 +84,7 @@
 // level that this version does not know says that the cluster has been upgraded beyond
 // it: from here on this process serves nobody and holds no right. Any other may be
 // damaged; it grants nothing, and the value before it counts until it lapses.
-func (c *Core) rejectLeaseValue(version uint64, err error) {
+func (c *Core) rejectLeaseValue(version wire.Revision, err error) {
 	if version == c.leaseReader.unreadableVersion {
 		return
 	}
@@ -147,7 +147,7 @@
 }
 
 // valueRead handles the answer to a reading that began when a version was known.
-func (r *leaseReading) valueRead(known uint64, d eventloop.Completion) {
+func (r *leaseReading) valueRead(known wire.Revision, d eventloop.Completion) {
 	c := r.core
 	if c.recovery == nil && d.Pair.Version < known && readOrAbsent(d.Outcome) {
 		// Every write of the value makes it newer. Where just the last revision is lost,
--- a/internal/core/controller/lease_read_test.go
+++ b/internal/core/controller/lease_read_test.go
@@ -17,7 +17,7 @@
 func TestOlderLeaseValueIsALoss(t *testing.T) {
 	for name, c := range map[string]struct {
 		outcome eventloop.Outcome
-		version uint64
+		version wire.Revision
 		later   bool // the known one was read only after the request
 		lost    bool
 	}{
--- a/internal/core/controller/lease_write_test.go
+++ b/internal/core/controller/lease_write_test.go
@@ -18,7 +18,7 @@
 	core       *Core
 	now        time.Time
 	lease      wire.LeaseRecord
-	revision   uint64
+	revision   wire.Revision
 	heldWrites []eventloop.StateTxn // lease writes without an answer, not executed yet
 	muteWrites bool                 // lease writes get no answer
 	watchID    uint64
--- a/internal/core/controller/levels.go
+++ b/internal/core/controller/levels.go
@@ -60,7 +60,7 @@
 }
 
 // applyLevel applies a key below LevelPrefix; value is nil if it was deleted.
-func (c *Core) applyLevel(key string, value []byte, version uint64) {
+func (c *Core) applyLevel(key string, value []byte, version wire.Revision) {
 	if !c.view.Params.Levels.KnowsLevels() {
 		return
 	}
@@ -76,7 +76,7 @@
 
 // newerRecord returns what is stored under a key now. A value that cannot be decoded is
 // empty, but its version counts.
-func newerRecord[T any](c *Core, old cluster.Stored[T], key string, value []byte, version uint64, form func(T) int) cluster.Stored[T] {
+func newerRecord[T any](c *Core, old cluster.Stored[T], key string, value []byte, version wire.Revision, form func(T) int) cluster.Stored[T] {
 	if version <= old.Version {
 		return old
 	}
@@ -164,7 +164,7 @@
 
 // storeControllerRecord stores this controller's record in place of the version that is
 // known, so that a late write of an earlier process cannot replace it.
-func (c *Core) storeControllerRecord(rec wire.ControllerRecord, known uint64) {
+func (c *Core) storeControllerRecord(rec wire.ControllerRecord, known wire.Revision) {
 	c.levels.writeInFlight = true
 	key := ControllerPrefix + c.view.Self
 	txn := wire.Txn{If: []wire.Condition{{Key: key, Version: known}}, Then: []wire.Op{{Put: key, Value: rec}}}
--- a/internal/core/controller/loss.go
+++ b/internal/core/controller/loss.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"fawncove/internal/core/eventloop"
+	"fawncove/internal/wire"
 )
 
 // lossReason is what shows that the state has lost data, as it is logged.
@@ -21,9 +22,9 @@
 // stateLoss is a loss of data that this controller has noticed.
 type stateLoss struct {
 	reason        lossReason
-	job           string // whose record is gone, for lossJob
-	revisionSeen  uint64 // the highest of before
-	revisionFound uint64 // instead; 0 if none was seen
+	job           string        // whose record is gone, for lossJob
+	revisionSeen  wire.Revision // the highest of before
+	revisionFound wire.Revision // instead; 0 if none was seen
 }
 
 // checkRevision looks for a loss of data in the revision of an answer. The state
--- a/internal/core/controller/peers.go
+++ b/internal/core/controller/peers.go
@@ -8,6 +8,7 @@
 	"fawncove/internal/core/feature"
 	"fawncove/internal/core/leasevalue"
 	"fawncove/internal/peerpb"
+	"fawncove/internal/wire"
 )
 
 const (
@@ -104,7 +105,7 @@
 // its machines.
 func (c *Core) updatePeer(p *cluster.Peer, f *peerpb.Frame) {
 	p.Incarnation, p.SeenLevel = f.GetIncarnation(), feature.Level(f.GetSeenLevel())
-	p.Generation, p.StateLost, p.StateRestored, p.Revision = f.GetGeneration(), f.GetStateLost(), f.GetStateRestored(), f.GetRevision()
+	p.Generation, p.StateLost, p.StateRestored, p.Revision = f.GetGeneration(), f.GetStateLost(), f.GetStateRestored(), wire.Revision(f.GetRevision())
 	if f.GetStateOk() && (!p.StateReachable || c.loop.Now.Sub(p.LastFrame) > cluster.PeerTimeout) {
 		p.StateReachableSince = c.loop.Now
 	}
--- a/internal/core/controller/read.go
+++ b/internal/core/controller/read.go
@@ -5,6 +5,7 @@
 
 	"fawncove/internal/core/eventloop"
 	"fawncove/internal/core/recovery"
+	"fawncove/internal/wire"
 )
 
 // stateReading is one reading of the whole state: its generation, all jobs page by
@@ -12,7 +13,7 @@
 type stateReading struct {
 	core      *Core
 	startedAt time.Time       // when the first page was asked for
-	revision  uint64          // of the first page; the watch goes on from there
+	revision  wire.Revision   // of the first page; the watch goes on from there
 	seen      map[string]bool // keys of the jobs read so far
 }
 
--- a/internal/core/controller/recovery.go
+++ b/internal/core/controller/recovery.go
@@ -29,9 +29,9 @@
 
 // recoveryRun is a recovery of the state under way.
 type recoveryRun struct {
-	generation    uint64 // that has lost data
-	revisionSeen  uint64 // the highest of it
-	revisionFound uint64
+	generation    uint64        // that has lost data
+	revisionSeen  wire.Revision // the highest of it
+	revisionFound wire.Revision
 	startedAt     time.Time // or when the state last lost data once more
 	nextAt        time.Time // no step begins before
 	inFlight      bool      // a step waits for the state service
@@ -97,7 +97,7 @@
 // it.
 func (c *Core) continueRecovery(r *recoveryRun, d eventloop.Completion) {
 	var g recovery.Generation
-	version := uint64(0)
+	version := wire.Revision(0)
 	for _, p := range d.Page.Pairs {
 		version = p.Version
 		var err error
@@ -161,7 +161,7 @@
 }
 
 // markRebuilding stores that the state is being recovered.
-func (c *Core) markRebuilding(version uint64, r *recoveryRun) {
+func (c *Core) markRebuilding(version wire.Revision, r *recoveryRun) {
 	g := recovery.Generation{Form: recovery.GenerationForm, Generation: c.recovery.generation, Rebuilding: true, Controller: c.view.Self,
 		RecoveredAtMs: c.loop.Now.UnixMilli()}
 	txn := wire.Txn{If: []wire.Condition{{Key: generationKey, Version: version}}, Then: []wire.Op{{Put: generationKey, Value: g}}}
--- a/internal/core/controller/recovery_read.go
+++ b/internal/core/controller/recovery_read.go
@@ -15,10 +15,10 @@
 	records           recovery.StoredState
 	completedPages    map[string]bool // keys of the pages of completed tasks
 	lease             wire.LeaseRecord
-	leaseVersion      uint64 // 0: there is no lease value
+	leaseVersion      wire.Revision // 0: there is no lease value
 	leasePages        leasevalue.PageTable
 	generation        recovery.Generation
-	generationVersion uint64
+	generationVersion wire.Revision
 }
 
 // storedStateReading is one reading of everything that the state service holds.
@@ -36,7 +36,7 @@
 func (c *Core) readStoredState(run *recoveryRun, done func(s *storedState)) {
 	r := &storedStateReading{core: c, run: run, prefixes: []string{root, owner.PagePrefix}, done: done,
 		state: &storedState{completedPages: map[string]bool{}, records: recovery.StoredState{
-			Jobs: map[string]uint64{}, Ends: map[string]recovery.StoredEnd{}, CompletedTasks: map[string][]byte{}}}}
+			Jobs: map[string]wire.Revision{}, Ends: map[string]recovery.StoredEnd{}, CompletedTasks: map[string][]byte{}}}}
 	r.readPage("")
 }
 
--- a/internal/core/controller/state.go
+++ b/internal/core/controller/state.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"fawncove/internal/core/leasevalue"
+	"fawncove/internal/wire"
 )
 
 // Keys of the state service. Everything that a controller watches is below root.
@@ -50,9 +51,9 @@
 // whole once, then kept up to date by a watch.
 type stateReader struct {
 	phase       readPhase
-	retryAt     time.Time // no reading begins before
-	revision    uint64    // all changes up to it are applied
-	watching    bool      // a watch is open
+	retryAt     time.Time     // no reading begins before
+	revision    wire.Revision // all changes up to it are applied
+	watching    bool          // a watch is open
 	nextWatchAt time.Time
 	lastAnswer  time.Time // when the state service last answered
 }
@@ -76,7 +77,7 @@
 }
 
 // complete ends a reading that shows all changes up to a revision.
-func (s *stateReader) complete(revision uint64) {
+func (s *stateReader) complete(revision wire.Revision) {
 	s.phase, s.revision = stateRead, revision
 }
 
--- a/internal/core/controller/submit.go
+++ b/internal/core/controller/submit.go
@@ -206,7 +206,7 @@
 }
 
 // accepted answers the user of a job that was stored under a version.
-func (s *submission) accepted(version uint64) {
+func (s *submission) accepted(version wire.Revision) {
 	c, rec := s.core, &s.rec
 	c.owner.Served.Accepted(&rec.Job)
 	c.applyJob(*rec, owner.RecordInfo{Version: version, Form: s.form})
--- a/internal/core/controller/watch.go
+++ b/internal/core/controller/watch.go
@@ -51,7 +51,7 @@
 }
 
 // applyPut applies the value of a key, by the role that it belongs to.
-func (c *Core) applyPut(key string, value []byte, version uint64) {
+func (c *Core) applyPut(key string, value []byte, version wire.Revision) {
 	switch {
 	case key == leaseKey:
 		c.applyLeaseValue(wire.Pair{Key: key, Value: value, Version: version})
@@ -71,7 +71,7 @@
 }
 
 // applyDelete applies the removal of a key. A job's record goes when the job ends.
-func (c *Core) applyDelete(key string, version uint64) {
+func (c *Core) applyDelete(key string, version wire.Revision) {
 	if id, ok := strings.CutPrefix(key, jobPrefix); ok {
 		if j := c.owner.Job(id); j != nil && version >= j.Version {
 			c.owner.EndJob(j)
@@ -81,7 +81,7 @@
 	}
 }
 
-func (c *Core) applyJobRecord(key string, value []byte, version uint64) {
+func (c *Core) applyJobRecord(key string, value []byte, version wire.Revision) {
 	env, rec, err := c.decodeJob(key, value)
 	if err != nil {
 		c.log.Error("cannot decode job record", "key", key, "err", err)
@@ -114,7 +114,7 @@
 	c.owner.ApplyJob(rec, at)
 }
 
-func (c *Core) applyEndRecord(key string, value []byte, version uint64) {
+func (c *Core) applyEndRecord(key string, value []byte, version wire.Revision) {
 	var rec wire.EndRecord
 	err := wire.Decode(value, &rec)
 	if err == nil && rec.Form > wire.EndForm && c.view.Params.Levels.KnowsLevels() {
@@ -128,7 +128,7 @@
 }
 
 // applyEnd notes that a job has ended. An end is final.
-func (c *Core) applyEnd(id string, rec wire.EndRecord, version uint64) {
+func (c *Core) applyEnd(id string, rec wire.EndRecord, version wire.Revision) {
 	if rec.State == wire.Cancelled {
 		c.cancellations.mayHaveAnswered(version)
 	}
--- a/internal/core/eventloop/effects.go
+++ b/internal/core/eventloop/effects.go
@@ -70,7 +70,7 @@
 type StateWatch struct {
 	ID     uint64
 	Prefix string
-	After  uint64
+	After  wire.Revision
 	Hold   time.Duration
 }
 
--- a/internal/core/eventloop/eventloop.go
+++ b/internal/core/eventloop/eventloop.go
@@ -18,7 +18,7 @@
 type Loop struct {
 	Now time.Time // when the event happened
 
-	watermark uint64 // see Watermark
+	watermark wire.Revision // see Watermark
 	effects   []Effect
 	lastCall  uint64 // id of the newest call
 	calls     map[uint64]call
@@ -27,7 +27,7 @@
 // call is an open call.
 type call struct {
 	completed func(Completion)
-	watermark uint64 // when it was made
+	watermark wire.Revision // when it was made
 }
 
 // Begin starts a step at now.
@@ -66,18 +66,18 @@
 func (l *Loop) DropCalls() { l.calls = nil }
 
 // HighestRevision is the highest revision that the state service has shown.
-func (l *Loop) HighestRevision() uint64 { return l.watermark }
+func (l *Loop) HighestRevision() wire.Revision { return l.watermark }
 
 // RaiseHighestRevision notes a revision that the state service has shown. Calls made from now
 // on are answered with it at least, unless the state loses data.
-func (l *Loop) RaiseHighestRevision(revision uint64) { l.watermark = max(l.watermark, revision) }
+func (l *Loop) RaiseHighestRevision(revision wire.Revision) { l.watermark = max(l.watermark, revision) }
 
 // ResetHighestRevision forgets all revisions seen, which say nothing about the state any more.
 func (l *Loop) ResetHighestRevision() { l.watermark = 0 }
 
 // CallRevision returns the watermark of when an open call was made; 0 when there is no
 // such call.
-func (l *Loop) CallRevision(id uint64) uint64 { return l.calls[id].watermark }
+func (l *Loop) CallRevision(id uint64) wire.Revision { return l.calls[id].watermark }
 
 // Reply answers a request.
 func (l *Loop) Reply(req uint64, code ReplyCode, body any) {
--- a/internal/core/owner/bench_test.go
+++ b/internal/core/owner/bench_test.go
@@ -27,7 +27,7 @@
 				m.machineType, m.zone, m.spot, m.agentEpoch, m.endpoint, m.size = "s4", "x", true, 1, "10.0.0.1:9000", sched.Resources{CPUs: 8, MemoryGB: 32}
 				if i%25 == 0 {
 					o.ApplyJob(wire.JobRecord{Job: wire.Job{ID: fmt.Sprintf("wk-%06d", i), Class: "c", Team: "red", Shape: wire.Array, Priority: "standard",
-						Tasks: 150, CPUs: 4, MemoryGB: 4, Spot: true, EstimateS: 60, Image: "img", ImageGB: 1}}, RecordInfo{Version: uint64(10 + i)})
+						Tasks: 150, CPUs: 4, MemoryGB: 4, Spot: true, EstimateS: 60, Image: "img", ImageGB: 1}}, RecordInfo{Version: wire.Revision(10 + i)})
 				}
 			}
 			o.place()
--- a/internal/core/owner/block.go
+++ b/internal/core/owner/block.go
@@ -114,12 +114,12 @@
 
 // partitionTable is the set of ownership partitions of this controller.
 type partitionTable struct {
-	owned     map[string]uint64    // version of the lease value that assigned each partition
-	offeredAt map[string]time.Time // when each partition was last offered for handover
+	owned     map[string]wire.Revision // version of the lease value that assigned each partition
+	offeredAt map[string]time.Time     // when each partition was last offered for handover
 }
 
 func newPartitionTable() partitionTable {
-	return partitionTable{owned: map[string]uint64{}, offeredAt: map[string]time.Time{}}
+	return partitionTable{owned: map[string]wire.Revision{}, offeredAt: map[string]time.Time{}}
 }
 
 // assignPartitions takes over the partitions that the lease value gives this controller,
--- a/internal/core/owner/completion_log.go
+++ b/internal/core/owner/completion_log.go
@@ -62,10 +62,10 @@
 
 // page is one of this controller's pages.
 type page struct {
-	version       uint64      // 0: not stored yet
-	envelopeForm  int         // of the envelope that it is stored in
-	unknownFields wire.Fields // of a newer version of this program
-	unreadable    bool        // stored in a form that is not known here: left alone
+	version       wire.Revision // 0: not stored yet
+	envelopeForm  int           // of the envelope that it is stored in
+	unknownFields wire.Fields   // of a newer version of this program
+	unreadable    bool          // stored in a form that is not known here: left alone
 	writing       bool
 	pendingSince  time.Time // since when something waits to be stored; zero: nothing does
 	retryAt       time.Time
--- a/internal/core/owner/completion_log_test.go
+++ b/internal/core/owner/completion_log_test.go
@@ -21,7 +21,7 @@
 	}
 	a, now := newOwner(t, []config.Team{{Name: "free"}}, lease)
 	for i := range 40 {
-		a.ApplyJob(job(i), RecordInfo{Version: uint64(10 + i)})
+		a.ApplyJob(job(i), RecordInfo{Version: wire.Revision(10 + i)})
 		for k := 0; k < a.jobs[job(i).ID].Record.Tasks; k += 7 + i {
 			a.markDone(a.jobs[job(i).ID], k)
 		}
@@ -43,7 +43,7 @@
 	}
 	b, _ := newOwner(t, []config.Team{{Name: "free"}}, lease)
 	for i := range 40 {
-		b.ApplyJob(job(i), RecordInfo{Version: uint64(3)}) // before the lease: taken over
+		b.ApplyJob(job(i), RecordInfo{Version: 3}) // before the lease: taken over
 	}
 	for key, body := range stored {
 		b.readPage(key, body.([]byte))
--- a/internal/core/owner/completion_read.go
+++ b/internal/core/owner/completion_read.go
@@ -134,7 +134,7 @@
 
 // adoptPage takes up a page that an earlier process of this controller wrote; others are
 // ignored. err says that it could not be read.
-func (o *Owner) adoptPage(key string, version uint64, env wire.Envelope, entries map[string]string, err error) {
+func (o *Owner) adoptPage(key string, version wire.Revision, env wire.Envelope, entries map[string]string, err error) {
 	n, ok := o.pageNumber(key)
 	if !ok {
 		return
--- a/internal/core/owner/handover_test.go
+++ b/internal/core/owner/handover_test.go
@@ -73,7 +73,7 @@
 		t.Fatal("started though its partition is offered")
 	}
 	// The lease value that applies the offer assigns the partition to n1.
-	lease := func(version uint64, node string) {
+	lease := func(version wire.Revision, node string) {
 		next := rec.Clone()
 		b := next.Blocks["n0"]
 		b.Renewal = r.Number
--- a/internal/core/owner/job.go
+++ b/internal/core/owner/job.go
@@ -29,7 +29,7 @@
 // Job is a job that has not ended, or whose tasks may still run.
 type Job struct {
 	Record         wire.JobRecord
-	Version        uint64 // of the record
+	Version        wire.Revision // of the record
 	Ended          bool
 	ReportedCounts [2]int // completed and running tasks that the job's owner reported, for display
 
@@ -37,9 +37,9 @@
 	EndInFlight bool
 	RetryEndAt  time.Time
 
-	firstVersion    uint64 // version under which the record was first stored
-	envelopeForm    int    // of the record's envelope; 0: it has none
-	publishedCounts [2]int // counts last sent to the peers
+	firstVersion    wire.Revision // version under which the record was first stored
+	envelopeForm    int           // of the record's envelope; 0: it has none
+	publishedCounts [2]int        // counts last sent to the peers
 
 	// What only the owner knows; see clearOwnerState.
 	ownership      ownership
@@ -62,8 +62,8 @@
 	reservedSince   time.Time // there
 	overdueLoggedAt time.Time
 
-	roomElsewhereSince time.Time // since when another controller has had room for it
-	movingAtLease      uint64    // version of the lease value under which it is being moved; 0: it is not
+	roomElsewhereSince time.Time     // since when another controller has had room for it
+	movingAtLease      wire.Revision // version of the lease value under which it is being moved; 0: it is not
 }
 
 // ready reports whether the job's waiting tasks may be placed here.
--- a/internal/core/owner/job_state.go
+++ b/internal/core/owner/job_state.go
@@ -8,13 +8,13 @@
 
 // RecordInfo is what the state service says of a job's record.
 type RecordInfo struct {
-	Version      uint64
-	FirstVersion uint64 // version under which it was first stored; 0: this one
-	Form         int    // of its envelope; 0: it has none
+	Version      wire.Revision
+	FirstVersion wire.Revision // version under which it was first stored; 0: this one
+	Form         int           // of its envelope; 0: it has none
 }
 
 // firstVersion returns the version under which the record was first stored.
-func (r RecordInfo) firstVersion() uint64 {
+func (r RecordInfo) firstVersion() wire.Revision {
 	if r.FirstVersion == 0 {
 		return r.Version
 	}
--- a/internal/core/owner/migration.go
+++ b/internal/core/owner/migration.go
@@ -223,7 +223,7 @@
 
 // movedRecord returns the value to be stored for a record that moves, and the form of its
 // envelope.
-func (o *Owner) movedRecord(rec *wire.JobRecord, firstVersion uint64) (value any, form int, err error) {
+func (o *Owner) movedRecord(rec *wire.JobRecord, firstVersion wire.Revision) (value any, form int, err error) {
 	value, err = wire.WithFields(*rec, rec.Unknown)
 	if err != nil || !o.view.FeatureOpen(feature.Envelope) {
 		return value, 0, err
--- a/internal/core/owner/migration_test.go
+++ b/internal/core/owner/migration_test.go
@@ -29,7 +29,7 @@
 }
 
 // submitSharded stores a job of one task, filed under the first shard of its team.
-func submitSharded(o *Owner, id string, version uint64, cpus float64, at time.Time) *Job {
+func submitSharded(o *Owner, id string, version wire.Revision, cpus float64, at time.Time) *Job {
 	o.ApplyJob(wire.JobRecord{Job: wire.Job{ID: id, Team: "free", Shape: wire.Array, Priority: "urgent", Tasks: 1, CPUs: cpus, MemoryGB: 1},
 		Shard: "free #1", Owner: "n0", SubmittedAtMs: at.UnixMilli()}, RecordInfo{Version: version})
 	return o.jobs[id]
@@ -109,7 +109,7 @@
 	for _, c := range []struct {
 		name           string
 		outcome        eventloop.Outcome
-		version, known uint64 // of the lease value, and up to which all changes are
+		version, known wire.Revision // of the lease value, and up to which all changes are
 		goesOn         bool
 	}{
 		{"no answer", eventloop.NoAnswer, 5, 90, false},
@@ -195,7 +195,7 @@
 // TestCompletedTasksAreReadFirst: a job that moves here with completed tasks is started only once
 // they have been read; one without is ready at once.
 func TestCompletedTasksAreReadFirst(t *testing.T) {
-	for _, born := range []uint64{0, 1} {
+	for _, born := range []wire.Revision{0, 1} {
 		o, now := newOwner(t, []config.Team{{Name: "free"}}, wire.LeaseRecord{Term: 3, Leader: "n1",
 			Blocks: map[string]wire.Block{"n0": {Grant: 1 << 18, Incarnation: 7}}, Partitions: map[string]string{"free #1": "n1", "free #2": "n0"}})
 		j := submitSharded(o, "wk-000001", 6, 1, now)
--- a/internal/core/owner/record_upgrade_test.go
+++ b/internal/core/owner/record_upgrade_test.go
@@ -23,7 +23,7 @@
 	for i := range 5 {
 		rec := wire.JobRecord{Job: wire.Job{ID: fmt.Sprintf("wk-%06d", i), Team: "red", Shape: wire.Array, Priority: "standard", Tasks: 1, CPUs: 1},
 			Unknown: wire.Fields{"later": []byte{0x01}}}
-		o.ApplyJob(rec, RecordInfo{Version: uint64(100 + i)})
+		o.ApplyJob(rec, RecordInfo{Version: wire.Revision(100 + i)})
 	}
 	return o, now
 }
@@ -55,7 +55,7 @@
 	}
 	for i, op := range x.Txn.Then {
 		env := op.Value.(wire.Envelope)
-		if want := (wire.Condition{Key: op.Put, Version: uint64(100 + i)}); x.Txn.If[i] != want || env.FirstVersion != want.Version || env.Generation != 3 {
+		if want := (wire.Condition{Key: op.Put, Version: wire.Revision(100 + i)}); x.Txn.If[i] != want || env.FirstVersion != want.Version || env.Generation != 3 {
 			t.Errorf("%s: under %+v, born %d, generation %d", op.Put, x.Txn.If[i], env.FirstVersion, env.Generation)
 		}
 		if kept, err := wire.UnknownFields(env.Value, wire.JobRecord{}); err != nil || len(kept) != 1 {
@@ -82,7 +82,7 @@
 func TestRecordWithoutRoomForEnvelope(t *testing.T) {
 	o, now := newUpgradingOwner(t)
 	const big = "fc/j/wk-000003"
-	revision, done := uint64(200), map[string]bool{}
+	revision, done := wire.Revision(200), map[string]bool{}
 	for range 20 {
 		x, at := nextUpgrade(o, now)
 		now = at
--- a/internal/core/owner/watermark.go
+++ b/internal/core/owner/watermark.go
@@ -5,6 +5,7 @@
 
 	"fawncove/internal/config"
 	"fawncove/internal/core/cluster"
+	"fawncove/internal/wire"
 )
 
 // StartFreshness is how old the knowledge of cancellations may be for tasks to be started:
@@ -17,13 +18,13 @@
 
 // watermarks says up to where the changes of jobs are known.
 type watermarks struct {
-	revision           uint64    // all changes up to this revision of the state service are known
-	changesUntil       time.Time // all changes made before this time are known
-	cancellationsUntil time.Time // all cancellations confirmed to users before this time are known
+	revision           wire.Revision // all changes up to this revision of the state service are known
+	changesUntil       time.Time     // all changes made before this time are known
+	cancellationsUntil time.Time     // all cancellations confirmed to users before this time are known
 }
 
 // advance notes that all changes up to a revision, and all made before a time, are known.
-func (w *watermarks) advance(revision uint64, at time.Time) {
+func (w *watermarks) advance(revision wire.Revision, at time.Time) {
 	w.revision = max(w.revision, revision)
 	if at.After(w.changesUntil) {
 		w.changesUntil = at
@@ -47,7 +48,7 @@
 
 // ChangesKnown notes that all changes of jobs up to a revision, and all made before a time,
 // have been applied.
-func (o *Owner) ChangesKnown(revision uint64, at time.Time) { o.known.advance(revision, at) }
+func (o *Owner) ChangesKnown(revision wire.Revision, at time.Time) { o.known.advance(revision, at) }
 
 // CancellationsKnown notes that all cancellations confirmed to users before a time are known.
 func (o *Owner) CancellationsKnown(at time.Time) { o.known.advanceCancellations(at) }
--- a/internal/core/recovery/generation.go
+++ b/internal/core/recovery/generation.go
@@ -28,14 +28,14 @@
 	// What is known of the loss: the controller that recovered the state, the highest
 	// revision that it had seen, what it found instead, what it stored again, when, and
 	// how many machines were to be reconciled then.
-	Controller    string `msgpack:"by" json:"by"`
-	RevisionSeen  uint64 `msgpack:"lost" json:"revision_seen"`
-	RevisionFound uint64 `msgpack:"found" json:"revision_found"`
-	Jobs          int    `msgpack:"jobs" json:"jobs"`
-	Ends          int    `msgpack:"ends" json:"ends"`
-	RecoveredAtMs int64  `msgpack:"at_ms" json:"at_ms"`
-	TookMs        int64  `msgpack:"took_ms" json:"took_ms"`
-	Machines      int    `msgpack:"machines" json:"machines"`
+	Controller    string        `msgpack:"by" json:"by"`
+	RevisionSeen  wire.Revision `msgpack:"lost" json:"revision_seen"`
+	RevisionFound wire.Revision `msgpack:"found" json:"revision_found"`
+	Jobs          int           `msgpack:"jobs" json:"jobs"`
+	Ends          int           `msgpack:"ends" json:"ends"`
+	RecoveredAtMs int64         `msgpack:"at_ms" json:"at_ms"`
+	TookMs        int64         `msgpack:"took_ms" json:"took_ms"`
+	Machines      int           `msgpack:"machines" json:"machines"`
 }
 
 // Store is what Read needs of the state service's client.
--- a/internal/core/recovery/recovery.go
+++ b/internal/core/recovery/recovery.go
@@ -30,7 +30,7 @@
 
 // StoredState is what the state service holds.
 type StoredState struct {
-	Jobs           map[string]uint64 // versions of their records
+	Jobs           map[string]wire.Revision // versions of their records
 	Ends           map[string]StoredEnd
 	CompletedTasks map[string][]byte
 }
@@ -38,7 +38,7 @@
 // StoredEnd is the end of a job as it is stored.
 type StoredEnd struct {
 	State   string
-	Version uint64
+	Version wire.Revision
 }
 
 // Keys are the prefixes under which jobs and their ends are stored.
@@ -112,7 +112,7 @@
 }
 
 // endRevived ends a job whose record is back.
-func (w *missingWriter) endRevived(id string, version uint64) {
+func (w *missingWriter) endRevived(id string, version wire.Revision) {
 	job, end := w.keys.Job+id, w.keys.End+id
 	w.batch.add([]wire.Condition{{Key: job, Version: version}, {Key: end}},
 		wire.Op{Delete: job}, wire.Op{Put: end, Value: w.known.Ends[id]})
--- a/internal/core/recovery/recovery_test.go
+++ b/internal/core/recovery/recovery_test.go
@@ -19,7 +19,7 @@
 		m.Jobs[fmt.Sprintf("job-%02d", i)] = strings.Repeat("x", 1000)
 	}
 	m.Jobs["known"], m.Jobs["ended elsewhere"] = "old", "old"
-	f := &StoredState{Jobs: map[string]uint64{"zombie": 7, "job-03": 8}, Ends: map[string]StoredEnd{
+	f := &StoredState{Jobs: map[string]wire.Revision{"zombie": 7, "job-03": 8}, Ends: map[string]StoredEnd{
 		"known": {wire.Done, 3}, "ended elsewhere": {wire.Done, 4}, "other": {wire.Cancelled, 5}}}
 	w, err := MissingWrites(m, f, keys, Limits{Ops: 8, Bytes: 5000})
 	if err != nil || w.Jobs != 29 || w.Ends != 3 {
--- a/internal/edge/statestore/statestore.go
+++ b/internal/edge/statestore/statestore.go
@@ -152,14 +152,14 @@
 }
 
 // Watch waits up to hold for changes under a prefix.
-func (s *Store) Watch(ctx context.Context, prefix string, after uint64, hold time.Duration) (eventloop.Outcome, wire.Changes, error) {
+func (s *Store) Watch(ctx context.Context, prefix string, after wire.Revision, hold time.Duration) (eventloop.Outcome, wire.Changes, error) {
 	ctx, cancel := context.WithTimeout(ctx, hold+callTimeout)
 	defer cancel()
 	var c wire.Changes
 	if err := s.workBudget.wait(ctx, 0); err != nil {
 		return eventloop.NotSent, c, err
 	}
-	q := url.Values{"under": {prefix}, "after": {strconv.FormatUint(after, 10)},
+	q := url.Values{"under": {prefix}, "after": {strconv.FormatUint(uint64(after), 10)},
 		"holdMs": {strconv.FormatInt(hold.Milliseconds(), 10)}}
 	status, err := s.watches.Do(ctx, "GET", s.base+"/changes?"+q.Encode(), nil, &c, 200)
 	return client.OutcomeOf(status), c, err
--- a/internal/testkit/loopback/loopback.go
+++ b/internal/testkit/loopback/loopback.go
@@ -265,7 +265,7 @@
 			return
 		}
 		d, ok := do(h, r, func(answer func(eventloop.Completion)) {
-			h.world.Watch(q.Get("under"), after, time.Duration(hold)*time.Millisecond, answer)
+			h.world.Watch(q.Get("under"), wire.Revision(after), time.Duration(hold)*time.Millisecond, answer)
 		})
 		if ok {
 			write(w, statusOf(d.Outcome), d.Changes)
--- a/internal/testkit/loopback/loopback_test.go
+++ b/internal/testkit/loopback/loopback_test.go
@@ -31,7 +31,7 @@
 func TestStateService(t *testing.T) {
 	h, ctx := start(t), t.Context()
 	s := statestore.New(h.State, 1000, 1000, 1)
-	put := func(version uint64, v any) eventloop.Outcome {
+	put := func(version wire.Revision, v any) eventloop.Outcome {
 		outcome, _, err := s.Txn(ctx, wire.Txn{If: []wire.Condition{{Key: "a/b", Version: version}}, Then: []wire.Op{{Put: "a/b", Value: v}}}, false)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/testkit/simtest/drive.go
+++ b/internal/testkit/simtest/drive.go
@@ -86,10 +86,10 @@
 func (d *Driven) Page(prefix, after string) eventloop.Completion { return d.store.page(prefix, after) }
 
 // Revision is that of the last change.
-func (d *Driven) Revision() uint64 { return d.store.rev }
+func (d *Driven) Revision() wire.Revision { return d.store.rev }
 
 // Watch has answer called when a key has changed after a revision, or after hold.
-func (d *Driven) Watch(prefix string, after uint64, hold time.Duration, answer func(eventloop.Completion)) {
+func (d *Driven) Watch(prefix string, after wire.Revision, hold time.Duration, answer func(eventloop.Completion)) {
 	d.store.watch("", prefix, after, d.now+hold, answer)
 }
 
--- a/internal/testkit/simtest/duo_test.go
+++ b/internal/testkit/simtest/duo_test.go
@@ -383,7 +383,7 @@
 }
 
 // heldUp is the revision up to which an answer that is held up tells.
-func (n *duoNode) heldUp() uint64 {
+func (n *duoNode) heldUp() wire.Revision {
 	if n.news == nil {
 		return 0
 	}
--- a/internal/testkit/simtest/lost_test.go
+++ b/internal/testkit/simtest/lost_test.go
@@ -39,7 +39,7 @@
 			if w.rng.IntN(3) == 0 {
 				back = at // all of it
 			}
-			lost := uint64(0)
+			lost := wire.Revision(0)
 			end := at + 40*time.Second
 			if beside {
 				from, d := at-time.Duration(w.rng.IntN(20))*time.Second, time.Duration(15+w.rng.IntN(30))*time.Second
--- a/internal/testkit/simtest/services.go
+++ b/internal/testkit/simtest/services.go
@@ -21,7 +21,7 @@
 
 type stored struct {
 	data    []byte
-	version uint64
+	version wire.Revision
 }
 
 type logged struct {
@@ -31,7 +31,7 @@
 
 type waiter struct {
 	node, prefix string
-	after        uint64
+	after        wire.Revision
 	until        time.Duration
 	answer       func(eventloop.Completion)
 }
@@ -44,7 +44,7 @@
 	requests, changes int
 	w                 *World
 	values            map[string]stored
-	rev               uint64
+	rev               wire.Revision
 	log               []logged
 	waiters           []*waiter
 	outage            time.Duration            // for all, until then
@@ -56,16 +56,16 @@
 
 // LoseState puts an older copy of the state in place of it, from d ago, as
 // whoever restores a backup does. It tells how many revisions were lost by that.
-func (w *World) LoseState(d time.Duration) uint64 {
+func (w *World) LoseState(d time.Duration) wire.Revision {
 	s := w.store
 	rev, _ := slices.BinarySearch(s.times, w.now-d+1)
-	n := s.rev - uint64(rev)
+	n := s.rev - wire.Revision(rev)
 	if n == 0 {
 		return 0
 	}
 	log := s.log
 	s.lostAt = w.now
-	s.rev, s.times, s.values, s.log, s.puts, s.ends = uint64(rev), s.times[:rev], map[string]stored{}, nil, nil, nil
+	s.rev, s.times, s.values, s.log, s.puts, s.ends = wire.Revision(rev), s.times[:rev], map[string]stored{}, nil, nil, nil
 	for _, e := range log {
 		switch {
 		case e.Version > s.rev:
@@ -179,7 +179,7 @@
 	return eventloop.Completion{Outcome: eventloop.Succeeded, Page: p}
 }
 
-func (s *store) watch(node, prefix string, after uint64, until time.Duration, answer func(eventloop.Completion)) {
+func (s *store) watch(node, prefix string, after wire.Revision, until time.Duration, answer func(eventloop.Completion)) {
 	if s.down(node) {
 		answer(eventloop.Completion{Outcome: eventloop.Unavailable})
 		return
@@ -202,7 +202,7 @@
 			continue
 		}
 		c := wire.Changes{Revision: s.rev}
-		from, _ := slices.BinarySearchFunc(s.log, x.after+1, func(e logged, v uint64) int { return cmp.Compare(e.Version, v) })
+		from, _ := slices.BinarySearchFunc(s.log, x.after+1, func(e logged, v wire.Revision) int { return cmp.Compare(e.Version, v) })
 		for _, e := range s.log[from:] {
 			if strings.HasPrefix(e.key, x.prefix) {
 				c.Log = append(c.Log, e.Change)
--- a/internal/upgrade/upgrade.go
+++ b/internal/upgrade/upgrade.go
@@ -62,7 +62,7 @@
 	LevelBlockers   []string      `json:"waits"` // as the leader reports them
 	OutdatedRecords int           `json:"left"`
 
-	requestVersion uint64 // version of the operator's request as it was read
+	requestVersion wire.Revision // version of the operator's request as it was read
 }
 
 // Errors of reading and requesting.
--- a/internal/wire/envelope.go
+++ b/internal/wire/envelope.go
@@ -36,13 +36,13 @@
 	// FirstVersion is the version under which the record was first stored, if it has
 	// been rewritten since; 0: it has not. From a record's age follows whether an earlier
 	// owner may have started its tasks, so a rewrite must not hide it.
-	FirstVersion uint64             `msgpack:"b,omitempty"`
+	FirstVersion Revision           `msgpack:"b,omitempty"`
 	Value        msgpack.RawMessage `msgpack:"v"`
 	Unknown      Fields             `msgpack:"-"`
 }
 
 // Wrap puts a value into an envelope.
-func Wrap(v any, generation, firstVersion uint64) (Envelope, error) {
+func Wrap(v any, generation uint64, firstVersion Revision) (Envelope, error) {
 	raw, err := Encode(v)
 	return Envelope{Form: EnvelopeForm, Generation: generation, FirstVersion: firstVersion, Value: raw}, err
 }
--- a/internal/wire/ids.go
+++ b/internal/wire/ids.go
@@ -9,6 +9,10 @@
 // within it, see Grant.Token.
 type FencingToken uint64
 
+// Revision counts the changes of the state service. The version of a key is the revision of
+// its last change; 0 says that the key is absent, or that nothing is known.
+type Revision uint64
+
 // Grant is the number under which a controller holds its block. It rises with every holder
 // and every process of a holder: no two grants of any blocks are equal.
 type Grant uint64
--- a/internal/wire/state.go
+++ b/internal/wire/state.go
@@ -13,20 +13,20 @@
 type Pair struct {
 	Key     string             `msgpack:"path"`
 	Value   msgpack.RawMessage `msgpack:"data"`
-	Version uint64             `msgpack:"inacica"`
+	Version Revision           `msgpack:"inacica"`
 }
 
 // Page is the answer of a range read, and of a read that found nothing.
 type Page struct {
-	Pairs    []Pair `msgpack:"pairs"`
-	More     bool   `msgpack:"more"`
-	Revision uint64 `msgpack:"izmjena"`
+	Pairs    []Pair   `msgpack:"pairs"`
+	More     bool     `msgpack:"more"`
+	Revision Revision `msgpack:"izmjena"`
 }
 
 // Condition demands a version of a key; 0 demands its absence.
 type Condition struct {
-	Key     string `msgpack:"path"`
-	Version uint64 `msgpack:"inacica"`
+	Key     string   `msgpack:"path"`
+	Version Revision `msgpack:"inacica"`
 }
 
 // Op is a put or a delete.
@@ -66,7 +66,7 @@
 
 // TxnAnswer is the outcome of a transaction.
 type TxnAnswer struct {
-	Revision uint64   `msgpack:"izmjena"`
+	Revision Revision `msgpack:"izmjena"`
 	Failed   []string `msgpack:"failed"`
 }
 
@@ -75,12 +75,12 @@
 	Put     string             `msgpack:"put"`
 	Value   msgpack.RawMessage `msgpack:"data"`
 	Delete  string             `msgpack:"drop"`
-	Version uint64             `msgpack:"inacica"`
+	Version Revision           `msgpack:"inacica"`
 }
 
 // Changes is the answer of a watch.
 type Changes struct {
-	Revision uint64   `msgpack:"izmjena"`
+	Revision Revision `msgpack:"izmjena"`
 	Log      []Change `msgpack:"log"`
 }
 
