--- a/cmd/fawncove/serve.go
+++ b/cmd/fawncove/serve.go
@@ -26,6 +26,7 @@
 	"fawncove/internal/edge/node"
 	"fawncove/internal/edge/peer"
 	"fawncove/internal/edge/statestore"
+	"fawncove/internal/wire"
 )
 
 func serveCommand() *cobra.Command {
@@ -140,7 +141,7 @@
 		links[p.HostName] = peer.Dial(ctx, p.Endpoint)
 	}
 	state := settings.Cluster.State
-	core := controller.New(settings, params, logger, uint64(time.Now().UnixMilli()))
+	core := controller.New(settings, params, logger, wire.Incarnation(time.Now().UnixMilli()))
 	return node.New(core, logger,
 		statestore.New(settings.External.State, state.RPS, state.WriteRPS, settings.Controllers()),
 		cloud.New(settings.External.Cloud, settings.Cluster.Cloud.RPS, cloudShare),
--- a/internal/core/blocklease/blocklease.go
+++ b/internal/core/blocklease/blocklease.go
@@ -24,7 +24,7 @@
 // Holder is one controller's right to its block. Use New: the zero value is of no use.
 type Holder struct {
 	duration    time.Duration // of a block lease
-	incarnation uint64
+	incarnation wire.Incarnation
 	grant       wire.Grant // 0: no block
 	expiresAt   time.Time
 	attempts    uint64 // numbered under this grant
@@ -45,16 +45,18 @@
 
 // New returns the holder for a process with this incarnation, whose block leases last for
 // duration.
-func New(incarnation uint64, duration time.Duration) *Holder {
+func New(incarnation wire.Incarnation, duration time.Duration) *Holder {
 	return &Holder{incarnation: incarnation, duration: duration, sentAt: map[uint64]time.Time{}}
 }
 
 // Incarnation tells this process from earlier ones of the same name.
-func (h *Holder) Incarnation() uint64 { return h.incarnation }
+func (h *Holder) Incarnation() wire.Incarnation { return h.incarnation }
 
 // RaiseIncarnationAbove makes the incarnation larger than another, which the lease value still
 // names for an earlier process.
-func (h *Holder) RaiseIncarnationAbove(other uint64) { h.incarnation = max(h.incarnation, other+1) }
+func (h *Holder) RaiseIncarnationAbove(other wire.Incarnation) {
+	h.incarnation = max(h.incarnation, other+1)
+}
 
 // Held reports whether there is a block.
 func (h *Holder) Held() bool { return h.grant != 0 }
--- a/internal/core/cluster/levels.go
+++ b/internal/core/cluster/levels.go
@@ -26,7 +26,7 @@
 
 // Members returns what is known of all controllers of the settings, in the order of their
 // names and then this one, whose incarnation it takes.
-func (v *View) Members(incarnation uint64, now time.Time) []feature.Member {
+func (v *View) Members(incarnation wire.Incarnation, now time.Time) []feature.Member {
 	var out []feature.Member
 	for _, name := range SortedKeys(v.Peers) {
 		p := v.Peers[name]
--- a/internal/core/cluster/peer.go
+++ b/internal/core/cluster/peer.go
@@ -13,7 +13,7 @@
 // Peer is what is known of another controller, by its frames.
 type Peer struct {
 	Zone        string
-	Incarnation uint64 // as received last
+	Incarnation wire.Incarnation // as received last
 	LastFrame   time.Time
 	// StateReachable says that the state service answers it, and StateReachableSince since
 	// when it has said so without a break.
--- a/internal/core/controller/cancellations.go
+++ b/internal/core/controller/cancellations.go
@@ -62,7 +62,7 @@
 	f.FreshnessRequest, f.CancelledRevision = c.cancellations.nextRequest(c.loop.Now), uint64(c.cancellations.answeredRevision)
 	for _, name := range cluster.SortedKeys(c.view.Peers) {
 		if p := c.view.Peers[name]; p.FreshnessRequest > 0 {
-			f.FreshnessReplies = append(f.FreshnessReplies, &peerpb.FreshnessReply{To: name, Incarnation: p.Incarnation, Request: p.FreshnessRequest})
+			f.FreshnessReplies = append(f.FreshnessReplies, &peerpb.FreshnessReply{To: name, Incarnation: uint64(p.Incarnation), Request: p.FreshnessRequest})
 		}
 	}
 }
@@ -76,7 +76,7 @@
 		return
 	}
 	for _, reply := range f.GetFreshnessReplies() {
-		if reply.GetTo() != c.view.Self || reply.GetIncarnation() != c.blockLease.Incarnation() {
+		if reply.GetTo() != c.view.Self || wire.Incarnation(reply.GetIncarnation()) != c.blockLease.Incarnation() {
 			continue
 		}
 		if at, ok := c.cancellations.requestSentAt(reply.GetRequest()); ok && at.After(p.CancellationsKnownUntil) {
--- a/internal/core/controller/controller.go
+++ b/internal/core/controller/controller.go
@@ -21,6 +21,7 @@
 	"fawncove/internal/core/leader"
 	"fawncove/internal/core/owner"
 	"fawncove/internal/core/recovery"
+	"fawncove/internal/wire"
 )
 
 // maxStepGap is the longest gap between steps of a process that runs: time alone brings
@@ -72,14 +73,14 @@
 
 // New returns the core of the controller described by cfg. incarnation must be larger
 // than that of every earlier process of the same name.
-func New(cfg *config.Settings, par cluster.Params, log *slog.Logger, incarnation uint64) *Core {
+func New(cfg *config.Settings, par cluster.Params, log *slog.Logger, incarnation wire.Incarnation) *Core {
 	c := new(Core)
 	c.reset(cluster.New(cfg, par), log, incarnation)
 	return c
 }
 
 // reset makes the core that of a process that knows nothing yet.
-func (c *Core) reset(view *cluster.View, log *slog.Logger, incarnation uint64) {
+func (c *Core) reset(view *cluster.View, log *slog.Logger, incarnation wire.Incarnation) {
 	c.view, c.log = view, log
 	c.blockLease = blocklease.New(incarnation, view.Params.LeaseDuration)
 	c.ended = newEndedJobs()
--- a/internal/core/controller/leader.go
+++ b/internal/core/controller/leader.go
@@ -37,7 +37,7 @@
 // handleRenewal handles the renewal of another controller.
 func (c *Core) handleRenewal(r *peerpb.Renewal) {
 	lease := &c.view.Lease
-	if c.leader == nil && r.GetResigned() && r.GetNode() == lease.Leader && r.GetIncarnation() > lease.Incarnation {
+	if c.leader == nil && r.GetResigned() && r.GetNode() == lease.Leader && wire.Incarnation(r.GetIncarnation()) > lease.Incarnation {
 		c.election.leaderResigned(c.loop.Now)
 	}
 	if c.leader == nil || r.GetNode() == c.view.Self {
--- a/internal/core/controller/peers.go
+++ b/internal/core/controller/peers.go
@@ -25,7 +25,7 @@
 
 // newFrame returns what every message to another controller begins with.
 func (c *Core) newFrame() *peerpb.Frame {
-	f := &peerpb.Frame{From: c.view.Self, Incarnation: c.blockLease.Incarnation(), StateOk: c.stateReachable(),
+	f := &peerpb.Frame{From: c.view.Self, Incarnation: uint64(c.blockLease.Incarnation()), StateOk: c.stateReachable(),
 		LeaseForm: leasevalue.FormPages}
 	c.addGeneration(f)
 	if c.view.Params.Levels.KnowsLevels() {
@@ -70,7 +70,7 @@
 		c.loop.Emit(eventloop.PeerSend{To: f.GetFrom(), Frame: c.newFrame()})
 		return
 	}
-	if f.GetIncarnation() != p.Incarnation || c.loop.Now.Sub(p.LastFrame) > missedFrameAfter {
+	if wire.Incarnation(f.GetIncarnation()) != p.Incarnation || c.loop.Now.Sub(p.LastFrame) > missedFrameAfter {
 		c.owner.ResendCounts()
 	}
 	c.updatePeer(p, f)
@@ -104,7 +104,7 @@
 // updatePeer notes what a peer says of itself. A frame with a renewal has no figures of
 // its machines.
 func (c *Core) updatePeer(p *cluster.Peer, f *peerpb.Frame) {
-	p.Incarnation, p.SeenLevel = f.GetIncarnation(), feature.Level(f.GetSeenLevel())
+	p.Incarnation, p.SeenLevel = wire.Incarnation(f.GetIncarnation()), feature.Level(f.GetSeenLevel())
 	p.Generation, p.StateLost, p.StateRestored, p.Revision = f.GetGeneration(), f.GetStateLost(), f.GetStateRestored(), wire.Revision(f.GetRevision())
 	if f.GetStateOk() && (!p.StateReachable || c.loop.Now.Sub(p.LastFrame) > cluster.PeerTimeout) {
 		p.StateReachableSince = c.loop.Now
--- a/internal/core/controller/renewal.go
+++ b/internal/core/controller/renewal.go
@@ -35,7 +35,7 @@
 
 // Renewal describes this controller to the leader, numbered as the next one.
 func (c *Core) Renewal() *peerpb.Renewal {
-	r := &peerpb.Renewal{Node: c.view.Self, Incarnation: c.blockLease.Incarnation(), Number: c.blockLease.NextRenewal()}
+	r := &peerpb.Renewal{Node: c.view.Self, Incarnation: uint64(c.blockLease.Incarnation()), Number: c.blockLease.NextRenewal()}
 	if c.view.Params.Levels.KnowsLevels() {
 		r.Form = renewalForm
 	}
--- a/internal/core/feature/raiser.go
+++ b/internal/core/feature/raiser.go
@@ -3,6 +3,8 @@
 import (
 	"fmt"
 	"time"
+
+	"fawncove/internal/wire"
 )
 
 const (
@@ -27,7 +29,7 @@
 	Reachable bool
 	// Incarnation is the one in its newest frame, and LeaseIncarnation the one that the lease
 	// value names for its block; 0: none.
-	Incarnation, LeaseIncarnation uint64
+	Incarnation, LeaseIncarnation wire.Incarnation
 	// Announced is what that controller has stored of itself.
 	Announced Announcement
 	// SeenLevel is the level that it had read, by its newest frame.
@@ -36,7 +38,7 @@
 
 // Announcement is what a process has stored of itself.
 type Announcement struct {
-	Incarnation uint64 // 0: nothing is stored
+	Incarnation wire.Incarnation // 0: nothing is stored
 	Levels      Range
 	Version     string
 }
--- a/internal/core/leader/leader.go
+++ b/internal/core/leader/leader.go
@@ -27,6 +27,7 @@
 	"fawncove/internal/core/feature"
 	"fawncove/internal/core/leasevalue"
 	"fawncove/internal/peerpb"
+	"fawncove/internal/wire"
 )
 
 // minWriteInterval is the least time between two writes of the lease value.
@@ -59,7 +60,7 @@
 	pageTable   *leasevalue.PageTable
 	local       LocalController
 	log         *slog.Logger
-	incarnation uint64 // of this controller's process
+	incarnation wire.Incarnation // of this controller's process
 	// fleetLimits are the limits of the settings on the size of the fleet, but for the
 	// lease value, whose size is known.
 	fleetLimits []config.FleetLimit
@@ -99,7 +100,7 @@
 // first read here: all renewals which that value acknowledges were sent before, so
 // leases count as renewed then, however long the election took. Controllers that are
 // alive are given the time to renew with the new leader all the same.
-func New(loop *eventloop.Loop, view *cluster.View, pageTable *leasevalue.PageTable, local LocalController, log *slog.Logger, incarnation, term uint64, valueSeen time.Time) *Leader {
+func New(loop *eventloop.Loop, view *cluster.View, pageTable *leasevalue.PageTable, local LocalController, log *slog.Logger, incarnation wire.Incarnation, term uint64, valueSeen time.Time) *Leader {
 	l := &Leader{loop: loop, view: view, pageTable: pageTable, local: local, log: log, incarnation: incarnation,
 		term: term, startedAt: loop.Now, publishPending: true,
 		renewals:        map[string]*peerpb.Renewal{},
--- a/internal/core/leader/renewals.go
+++ b/internal/core/leader/renewals.go
@@ -17,12 +17,12 @@
 		return false
 	}
 	block, known := l.view.Lease.Blocks[node]
-	if r.GetIncarnation() < block.Incarnation || (r.GetIncarnation() == block.Incarnation && r.GetNumber() < block.Renewal) {
+	if incarnationOf(r) < block.Incarnation || (incarnationOf(r) == block.Incarnation && r.GetNumber() < block.Renewal) {
 		return false // from before this controller led
 	}
 	l.renewals[node], l.renewalReceived[node] = r, l.loop.Now
 	hasChanges := len(r.GetReleased())+len(r.GetSilentMachines())+len(r.GetKnownMachines())+len(r.GetHandovers()) > 0
-	if !known || block.Incarnation != r.GetIncarnation() || r.GetResigned() || hasChanges {
+	if !known || block.Incarnation != incarnationOf(r) || r.GetResigned() || hasChanges {
 		l.publishPending = true
 	}
 	return true
@@ -88,12 +88,12 @@
 
 // renewBlock renews a controller's block lease, or grants a block to its new process.
 func (l *Leader) renewBlock(p *proposal, node string, r *peerpb.Renewal) {
-	if old, ok := p.record.Blocks[node]; !ok || old.Incarnation != r.GetIncarnation() {
+	if old, ok := p.record.Blocks[node]; !ok || old.Incarnation != incarnationOf(r) {
 		// A controller that is back after its lease has lapsed begins anew; counted from
 		// its earlier renewal the lease would lapse again at once.
 		l.leaseRenewed[node] = l.loop.Now
 	}
-	GrantAnew(&p.record, node, r.GetIncarnation())
+	GrantAnew(&p.record, node, incarnationOf(r))
 	block := p.record.Blocks[node]
 	if r.GetNumber() > block.Renewal {
 		l.applyReservations(&p.record, node, r)
@@ -102,6 +102,9 @@
 	p.record.Blocks[node] = block
 }
 
+// incarnationOf returns the incarnation of a renewal's sender.
+func incarnationOf(r *peerpb.Renewal) wire.Incarnation { return wire.Incarnation(r.GetIncarnation()) }
+
 // grantOf returns the grant under which the sender of a renewal held its block; 0: none.
 func grantOf(r *peerpb.Renewal) wire.Grant { return wire.Grant(r.GetGrant()) }
 
--- a/internal/core/leader/takeover.go
+++ b/internal/core/leader/takeover.go
@@ -39,7 +39,7 @@
 // incarnation than the block was granted to, so nothing has to lapse.
 func (l *Leader) hasResigned(node string, block wire.Block) bool {
 	r := l.renewals[node]
-	return r.GetResigned() && r.GetIncarnation() > block.Incarnation
+	return r.GetResigned() && incarnationOf(r) > block.Incarnation
 }
 
 // leaseLapsed reports whether a controller's block lease has surely ended, by its own
@@ -96,7 +96,7 @@
 // GrantAnew gives a controller's block to a new process of that controller. The old
 // process is dead, so no lease has to lapse, but the machines may run tasks that the new
 // process does not know.
-func GrantAnew(rec *wire.LeaseRecord, node string, incarnation uint64) {
+func GrantAnew(rec *wire.LeaseRecord, node string, incarnation wire.Incarnation) {
 	block := rec.Blocks[node]
 	if block.Incarnation == incarnation {
 		return
--- a/internal/core/leasevalue/leasevalue.go
+++ b/internal/core/leasevalue/leasevalue.go
@@ -109,7 +109,7 @@
 	Generation  uint64                 `msgpack:"gen,omitempty"`
 	Term        uint64                 `msgpack:"term"`
 	Leader      string                 `msgpack:"leader"`
-	Incarnation uint64                 `msgpack:"inc"`
+	Incarnation wire.Incarnation       `msgpack:"inc"`
 	LastGrant   wire.Grant             `msgpack:"grants"`
 	Sequence    uint64                 `msgpack:"beat"`
 	Blocks      map[string]headerBlock `msgpack:"blocks"`
@@ -126,12 +126,12 @@
 
 // headerBlock is one controller's block in a header.
 type headerBlock struct {
-	Grant        wire.Grant `msgpack:"grant"`
-	Incarnation  uint64     `msgpack:"inc"`
-	Renewal      uint64     `msgpack:"renewal"`
-	Machines     storedSet  `msgpack:"machines"`
-	Unreconciled storedSet  `msgpack:"old"`
-	Draining     storedSet  `msgpack:"recall"`
+	Grant        wire.Grant       `msgpack:"grant"`
+	Incarnation  wire.Incarnation `msgpack:"inc"`
+	Renewal      uint64           `msgpack:"renewal"`
+	Machines     storedSet        `msgpack:"machines"`
+	Unreconciled storedSet        `msgpack:"old"`
+	Draining     storedSet        `msgpack:"recall"`
 }
 
 // sets returns the block's sets by kind, in the order of blockSets.
--- a/internal/core/recovery/lease.go
+++ b/internal/core/recovery/lease.go
@@ -33,7 +33,7 @@
 // state goes on with. Its leader, node, holds all machines that any of them names, as
 // those of holders that ended, all partitions and all quota shares. limit returns the
 // whole of a team's limit.
-func MergeLease(node string, incarnation, generation uint64, limit func(team string) wire.Share, views ...*View) wire.LeaseRecord {
+func MergeLease(node string, incarnation wire.Incarnation, generation uint64, limit func(team string) wire.Share, views ...*View) wire.LeaseRecord {
 	out := wire.LeaseRecord{Leader: node, Incarnation: incarnation, Generation: generation,
 		Partitions: map[string]string{}, Blocks: map[string]wire.Block{}}
 	machines := map[string]bool{}
--- a/internal/testkit/simtest/duo_test.go
+++ b/internal/testkit/simtest/duo_test.go
@@ -140,7 +140,7 @@
 	if i == 0 {
 		s.Peers[0].HostName = "n1"
 	}
-	n.core, n.watch, n.news = controller.New(s, cluster.Defaults(), slog.New(slog.DiscardHandler), uint64(7+n.life)), nil, nil
+	n.core, n.watch, n.news = controller.New(s, cluster.Defaults(), slog.New(slog.DiscardHandler), wire.Incarnation(7+n.life)), nil, nil
 	n.life++
 	n.down, n.frozen, n.held = false, false, nil
 	d.hand(i, eventloop.Tick{}, "start")
--- a/internal/testkit/simtest/world.go
+++ b/internal/testkit/simtest/world.go
@@ -330,7 +330,7 @@
 	n.waits = map[uint64]func(eventloop.Reply){}
 	par := n.w.par
 	par.Levels, par.Version = n.rolls, fmt.Sprintf("up to level %d", n.rolls.Newest)
-	n.core = controller.New(s, par, slog.New(moveCounter{slog.DiscardHandler, n.w}), uint64(n.clock().UnixMilli()))
+	n.core = controller.New(s, par, slog.New(moveCounter{slog.DiscardHandler, n.w}), wire.Incarnation(n.clock().UnixMilli()))
 	life := n.life
 	var tick func()
 	tick = func() {
--- a/internal/upgrade/upgrade.go
+++ b/internal/upgrade/upgrade.go
@@ -39,13 +39,13 @@
 	Ready       bool   `json:"ready"`
 	// Incarnation is the process that stored its version, and LeaseIncarnation the one
 	// that holds the block; 0: none.
-	Incarnation          uint64    `json:"process"`
-	LeaseIncarnation     uint64    `json:"holder"`
-	Renewal              uint64    `json:"renewal"`
-	Machines             int       `json:"machines"`
-	UnreconciledMachines int       `json:"unheard"` // of its machines: they may run tasks that it does not know
-	OutdatedRecords      int       `json:"left"`    // records in an earlier form
-	UpdatedAt            time.Time `json:"told"`
+	Incarnation          wire.Incarnation `json:"process"`
+	LeaseIncarnation     wire.Incarnation `json:"holder"`
+	Renewal              uint64           `json:"renewal"`
+	Machines             int              `json:"machines"`
+	UnreconciledMachines int              `json:"unheard"` // of its machines: they may run tasks that it does not know
+	OutdatedRecords      int              `json:"left"`    // records in an earlier form
+	UpdatedAt            time.Time        `json:"told"`
 }
 
 // Status is the state of a rollout at one time.
--- a/internal/wire/ids.go
+++ b/internal/wire/ids.go
@@ -13,6 +13,10 @@
 // its last change; 0 says that the key is absent, or that nothing is known.
 type Revision uint64
 
+// Incarnation tells a controller's process from earlier ones of the same name, and a process
+// that has lost its block from what it was before. It only ever rises.
+type Incarnation uint64
+
 // Grant is the number under which a controller holds its block. It rises with every holder
 // and every process of a holder: no two grants of any blocks are equal.
 type Grant uint64
--- a/internal/wire/state.go
+++ b/internal/wire/state.go
@@ -107,9 +107,9 @@
 
 // LeaseRecord is the one value that holds leadership, all block leases and partitions.
 type LeaseRecord struct {
-	Term        uint64 `msgpack:"term"`
-	Leader      string `msgpack:"leader"`
-	Incarnation uint64 `msgpack:"inc"` // of the leader's process
+	Term        uint64      `msgpack:"term"`
+	Leader      string      `msgpack:"leader"`
+	Incarnation Incarnation `msgpack:"inc"` // of the leader's process
 	// LastGrant is the highest grant given to a block.
 	LastGrant Grant `msgpack:"grants"`
 	// Sequence counts the writes of the value.
@@ -140,9 +140,9 @@
 // ControllerRecord is what a controller's process stores of itself, for the leader and for
 // the operators.
 type ControllerRecord struct {
-	Form        int    `msgpack:"f"`
-	Incarnation uint64 `msgpack:"inc"`
-	Version     string `msgpack:"version"`
+	Form        int         `msgpack:"f"`
+	Incarnation Incarnation `msgpack:"inc"`
+	Version     string      `msgpack:"version"`
 	// OldestLevel and NewestLevel are the feature levels that it can work under, and
 	// SeenLevel the one that it has read.
 	OldestLevel uint32 `msgpack:"oldest"`
@@ -223,8 +223,8 @@
 
 // Block is a controller's block lease.
 type Block struct {
-	Grant       Grant  `msgpack:"grant"`
-	Incarnation uint64 `msgpack:"inc"`
+	Grant       Grant       `msgpack:"grant"`
+	Incarnation Incarnation `msgpack:"inc"`
 	// Renewal is the newest renewal that the value acknowledges.
 	Renewal  uint64  `msgpack:"renewal"`
 	Machines NameSet `msgpack:"machines"`
