--- a/internal/core/controller/leader.go
+++ b/internal/core/controller/leader.go
@@ -18,7 +18,7 @@
 func (h leaderHost) Renewal() *peerpb.Renewal { return h.core.Renewal() }
 
 // becomeLeader makes this controller the leader of a term.
-func (c *Core) becomeLeader(term uint64) {
+func (c *Core) becomeLeader(term wire.Term) {
 	c.log.Info("leadership won", "term", term)
 	c.stopLeading()
 	c.leader = leader.New(&c.loop, c.view, &c.leaseReader.pages, leaderHost{c.owner, c}, c.log, c.blockLease.Incarnation(), term, c.election.previousAppliedAt)
--- a/internal/core/leader/leader.go
+++ b/internal/core/leader/leader.go
@@ -65,7 +65,7 @@
 	// lease value, whose size is known.
 	fleetLimits []config.FleetLimit
 
-	term      uint64
+	term      wire.Term
 	startedAt time.Time
 	stopped   bool
 
@@ -100,7 +100,7 @@
 // first read here: all renewals which that value acknowledges were sent before, so
 // leases count as renewed then, however long the election took. Controllers that are
 // alive are given the time to renew with the new leader all the same.
-func New(loop *eventloop.Loop, view *cluster.View, pageTable *leasevalue.PageTable, local LocalController, log *slog.Logger, incarnation wire.Incarnation, term uint64, valueSeen time.Time) *Leader {
+func New(loop *eventloop.Loop, view *cluster.View, pageTable *leasevalue.PageTable, local LocalController, log *slog.Logger, incarnation wire.Incarnation, term wire.Term, valueSeen time.Time) *Leader {
 	l := &Leader{loop: loop, view: view, pageTable: pageTable, local: local, log: log, incarnation: incarnation,
 		term: term, startedAt: loop.Now, publishPending: true,
 		renewals:        map[string]*peerpb.Renewal{},
@@ -140,7 +140,7 @@
 }
 
 // Term returns the term that it leads.
-func (l *Leader) Term() uint64 { return l.term }
+func (l *Leader) Term() wire.Term { return l.term }
 
 // Stop ends the leader: answers that arrive later change nothing.
 func (l *Leader) Stop() { l.stopped = true }
--- a/internal/core/leasevalue/leasevalue.go
+++ b/internal/core/leasevalue/leasevalue.go
@@ -107,7 +107,7 @@
 	Level       uint32                 `msgpack:"level,omitempty"`
 	Confirmed   uint32                 `msgpack:"confirmed,omitempty"`
 	Generation  uint64                 `msgpack:"gen,omitempty"`
-	Term        uint64                 `msgpack:"term"`
+	Term        wire.Term              `msgpack:"term"`
 	Leader      string                 `msgpack:"leader"`
 	Incarnation wire.Incarnation       `msgpack:"inc"`
 	LastGrant   wire.Grant             `msgpack:"grants"`
--- a/internal/upgrade/upgrade.go
+++ b/internal/upgrade/upgrade.go
@@ -54,7 +54,7 @@
 	Confirmed       feature.Level `json:"confirmed"`
 	Generation      uint64        `json:"generation"`
 	Form            int           `json:"form"` // of the lease value
-	Term            uint64        `json:"term"`
+	Term            wire.Term     `json:"term"`
 	Sequence        uint64        `json:"beat"`
 	Controllers     []Controller  `json:"controllers"`
 	RequestedLevel  feature.Level `json:"asked"` // by the operator; 0: none
--- a/internal/wire/ids.go
+++ b/internal/wire/ids.go
@@ -13,6 +13,10 @@
 // its last change; 0 says that the key is absent, or that nothing is known.
 type Revision uint64
 
+// Term numbers the leaderships: it rises with every leader. The grants of a term lie above
+// those of earlier ones.
+type Term uint64
+
 // Incarnation tells a controller's process from earlier ones of the same name, and a process
 // that has lost its block from what it was before. It only ever rises.
 type Incarnation uint64
@@ -29,10 +33,10 @@
 )
 
 // FirstGrant returns the lowest grant of a term.
-func FirstGrant(term uint64) Grant { return Grant(term << grantBits) }
+func FirstGrant(term Term) Grant { return Grant(term << grantBits) }
 
 // Term returns the term in which the grant was given.
-func (g Grant) Term() uint64 { return uint64(g) >> grantBits }
+func (g Grant) Term() Term { return Term(g >> grantBits) }
 
 // Token returns the token of the grant with this increment.
 func (g Grant) Token(increment uint64) FencingToken { return FencingToken(g.number(increment)) }
--- a/internal/wire/state.go
+++ b/internal/wire/state.go
@@ -107,7 +107,7 @@
 
 // LeaseRecord is the one value that holds leadership, all block leases and partitions.
 type LeaseRecord struct {
-	Term        uint64      `msgpack:"term"`
+	Term        Term        `msgpack:"term"`
 	Leader      string      `msgpack:"leader"`
 	Incarnation Incarnation `msgpack:"inc"` // of the leader's process
 	// LastGrant is the highest grant given to a block.
