--- a/internal/core/cluster/peer.go
+++ b/internal/core/cluster/peer.go
@@ -13,7 +13,7 @@
 // Peer is what is known of another controller, by its frames.
 type Peer struct {
 	Zone        string
-	Incarnation uint64 // as received last
+	Incarnation wire.Incarnation // as received last
 	LastFrame   time.Time
 	// StateReachable says that the state service answers it, and StateReachableSince since
 	// when it has said so without a break.
@@ -46,7 +46,7 @@
 	StateLost     bool
 	StateRestored bool
 	RecoveryView  *recovery.View
-	Revision      uint64 // the highest that the state service has shown it
+	Revision      wire.Revision // the highest that the state service has shown it
 
 	// FreshnessRequest is its newest request, and CancellationsKnownUntil the moment up to
 	// which it has answered no cancellation that is not known here; see cancellations.go
--- a/internal/core/controller/leader.go
+++ b/internal/core/controller/leader.go
@@ -18,7 +18,7 @@
 func (h leaderHost) Renewal() *peerpb.Renewal { return h.core.Renewal() }
 
 // becomeLeader makes this controller the leader of a term.
-func (c *Core) becomeLeader(term uint64) {
+func (c *Core) becomeLeader(term wire.Term) {
 	c.log.Info("leadership won", "term", term)
 	c.stopLeading()
 	c.leader = leader.New(&c.loop, c.view, &c.leaseReader.pages, leaderHost{c.owner, c}, c.log, c.blockLease.Incarnation(), term, c.election.previousAppliedAt)
@@ -37,7 +37,7 @@
 // handleRenewal handles the renewal of another controller.
 func (c *Core) handleRenewal(r *peerpb.Renewal) {
 	lease := &c.view.Lease
-	if c.leader == nil && r.GetResigned() && r.GetNode() == lease.Leader && r.GetIncarnation() > lease.Incarnation {
+	if c.leader == nil && r.GetResigned() && r.GetNode() == lease.Leader && wire.Incarnation(r.GetIncarnation()) > lease.Incarnation {
 		c.election.leaderResigned(c.loop.Now)
 	}
 	if c.leader == nil || r.GetNode() == c.view.Self {
--- a/internal/core/controller/state.go
+++ b/internal/core/controller/state.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"fawncove/internal/core/leasevalue"
+	"fawncove/internal/wire"
 )
 
 // Keys of the state service. Everything that a controller watches is below root.
@@ -56,10 +57,10 @@
 // whole once, then kept up to date by a watch.
 type stateReader struct {
 	phase       readPhase
-	retryAt     time.Time // no reading begins before
-	revision    uint64    // all changes up to it are applied
-	nextWatchAt time.Time // no watch is opened before
-	lastAnswer  time.Time // when the state service last answered
+	retryAt     time.Time     // no reading begins before
+	revision    wire.Revision // all changes up to it are applied
+	nextWatchAt time.Time     // no watch is opened before
+	lastAnswer  time.Time     // when the state service last answered
 }
 
 // loaded reports whether the state has been read as a whole.
@@ -87,7 +88,7 @@
 }
 
 // complete ends a reading that shows all changes up to a revision.
-func (s *stateReader) complete(revision uint64) {
+func (s *stateReader) complete(revision wire.Revision) {
 	s.phase, s.revision = stateRead, revision
 }
 
--- a/internal/core/leader/takeover.go
+++ b/internal/core/leader/takeover.go
@@ -39,7 +39,7 @@
 // incarnation than the block was granted to, so nothing has to lapse.
 func (l *Leader) hasResigned(node string, block wire.Block) bool {
 	r := l.renewals[node]
-	return r.GetResigned() && r.GetIncarnation() > block.Incarnation
+	return r.GetResigned() && incarnationOf(r) > block.Incarnation
 }
 
 // leaseLapsed reports whether a controller's block lease has surely ended, by its own
@@ -88,15 +88,15 @@
 
 // nextGrant returns a number for a new grant. It only ever rises, with the term in its
 // upper bits, since tokens and attempts are made of it.
-func nextGrant(rec *wire.LeaseRecord) uint64 {
-	rec.LastGrant = max(rec.LastGrant+1, rec.Term<<16)
+func nextGrant(rec *wire.LeaseRecord) wire.Grant {
+	rec.LastGrant = max(rec.LastGrant+1, wire.FirstGrant(rec.Term))
 	return rec.LastGrant
 }
 
 // GrantAnew gives a controller's block to a new process of that controller. The old
 // process is dead, so no lease has to lapse, but the machines may run tasks that the new
 // process does not know.
-func GrantAnew(rec *wire.LeaseRecord, node string, incarnation uint64) {
+func GrantAnew(rec *wire.LeaseRecord, node string, incarnation wire.Incarnation) {
 	block := rec.Blocks[node]
 	if block.Incarnation == incarnation {
 		return
--- a/internal/core/owner/attempt.go
+++ b/internal/core/owner/attempt.go
@@ -38,8 +38,8 @@
 	counted  bool // in what its team uses
 
 	delivery         delivery
-	answeredSequence uint64 // inHeartbeatAnswer: the heartbeat that was answered
-	voidFromToken    uint64 // commandUnconfirmed: a worker that has seen this token ignores the start
+	answeredSequence uint64            // inHeartbeatAnswer: the heartbeat that was answered
+	voidFromToken    wire.FencingToken // commandUnconfirmed: a worker that has seen this token ignores the start
 
 	startedAt time.Time
 }
--- a/internal/core/owner/completion_log.go
+++ b/internal/core/owner/completion_log.go
@@ -61,9 +61,9 @@
 
 // page is one of this controller's pages.
 type page struct {
-	version       uint64      // 0: not stored yet
-	envelopeForm  int         // of the envelope that it is stored in
-	unknownFields wire.Fields // of a newer version of this program
+	version       wire.Revision // 0: not stored yet
+	envelopeForm  int           // of the envelope that it is stored in
+	unknownFields wire.Fields   // of a newer version of this program
 	state         pageState
 	pendingSince  time.Time // since when something waits to be stored; zero: nothing does
 	retryAt       time.Time
--- a/internal/testkit/simtest/duo_test.go
+++ b/internal/testkit/simtest/duo_test.go
@@ -78,7 +78,7 @@
 	d              *duo
 	name, endpoint string
 	session, seq   uint64
-	token          uint64
+	token          wire.FencingToken
 	tasks          []wire.TaskStatus
 	reports        int           // the controller that it reports to
 	lease          time.Duration // when it last reported and was answered
@@ -106,7 +106,7 @@
 	d.w.writes = 1e6
 	blocks := map[string]wire.Block{}
 	for i := range d.nodes {
-		b := wire.Block{Grant: 1<<16 + uint64(i), Incarnation: 7}
+		b := wire.Block{Grant: 1<<16 + wire.Grant(i), Incarnation: 7}
 		for k, holder := range holders {
 			if holder == i {
 				b.Machines = append(b.Machines, fmt.Sprintf("host-%06d", k+1))
@@ -140,7 +140,7 @@
 	if i == 0 {
 		s.Peers[0].HostName = "n1"
 	}
-	n.core, n.watch, n.news = controller.New(s, cluster.Defaults(), slog.New(slog.DiscardHandler), uint64(7+n.life)), nil, nil
+	n.core, n.watch, n.news = controller.New(s, cluster.Defaults(), slog.New(slog.DiscardHandler), wire.Incarnation(7+n.life)), nil, nil
 	n.life++
 	n.down, n.frozen, n.held = false, false, nil
 	d.hand(i, eventloop.Tick{}, "start")
@@ -383,7 +383,7 @@
 }
 
 // heldUp is the revision up to which an answer that is held up tells.
-func (n *duoNode) heldUp() uint64 {
+func (n *duoNode) heldUp() wire.Revision {
 	if n.news == nil {
 		return 0
 	}
@@ -445,7 +445,7 @@
 }
 
 // obey carries out commands of a controller.
-func (m *duoMachine) obey(by int, token uint64, commands []wire.Command) {
+func (m *duoMachine) obey(by int, token wire.FencingToken, commands []wire.Command) {
 	m.token = max(m.token, token)
 	m.told = sum(m.told, token, len(commands))
 	for _, c := range commands {
--- a/internal/upgrade/upgrade.go
+++ b/internal/upgrade/upgrade.go
@@ -39,13 +39,13 @@
 	Ready       bool   `json:"ready"`
 	// Incarnation is the process that stored its version, and LeaseIncarnation the one
 	// that holds the block; 0: none.
-	Incarnation          uint64    `json:"process"`
-	LeaseIncarnation     uint64    `json:"holder"`
-	Renewal              uint64    `json:"renewal"`
-	Machines             int       `json:"machines"`
-	UnreconciledMachines int       `json:"unheard"` // of its machines: they may run tasks that it does not know
-	OutdatedRecords      int       `json:"left"`    // records in an earlier form
-	UpdatedAt            time.Time `json:"told"`
+	Incarnation          wire.Incarnation `json:"process"`
+	LeaseIncarnation     wire.Incarnation `json:"holder"`
+	Renewal              uint64           `json:"renewal"`
+	Machines             int              `json:"machines"`
+	UnreconciledMachines int              `json:"unheard"` // of its machines: they may run tasks that it does not know
+	OutdatedRecords      int              `json:"left"`    // records in an earlier form
+	UpdatedAt            time.Time        `json:"told"`
 }
 
 // Status is the state of a rollout at one time.
@@ -54,7 +54,7 @@
 	Confirmed       feature.Level `json:"confirmed"`
 	Generation      uint64        `json:"generation"`
 	Form            int           `json:"form"` // of the lease value
-	Term            uint64        `json:"term"`
+	Term            wire.Term     `json:"term"`
 	Sequence        uint64        `json:"beat"`
 	Controllers     []Controller  `json:"controllers"`
 	RequestedLevel  feature.Level `json:"asked"` // by the operator; 0: none
@@ -62,7 +62,7 @@
 	LevelBlockers   []string      `json:"waits"` // as the leader reports them
 	OutdatedRecords int           `json:"left"`
 
-	requestVersion uint64 // version of the operator's request as it was read
+	requestVersion wire.Revision // version of the operator's request as it was read
 }
 
 // Errors of reading and requesting.
--- a/internal/wire/state.go
+++ b/internal/wire/state.go
@@ -13,20 +13,20 @@
 type Pair struct {
 	Key     string             `msgpack:"path"`
 	Value   msgpack.RawMessage `msgpack:"data"`
-	Version uint64             `msgpack:"inacica"`
+	Version Revision           `msgpack:"inacica"`
 }
 
 // Page is the answer of a range read, and of a read that found nothing.
 type Page struct {
-	Pairs    []Pair `msgpack:"pairs"`
-	More     bool   `msgpack:"more"`
-	Revision uint64 `msgpack:"izmjena"`
+	Pairs    []Pair   `msgpack:"pairs"`
+	More     bool     `msgpack:"more"`
+	Revision Revision `msgpack:"izmjena"`
 }
 
 // Condition demands a version of a key; 0 demands its absence.
 type Condition struct {
-	Key     string `msgpack:"path"`
-	Version uint64 `msgpack:"inacica"`
+	Key     string   `msgpack:"path"`
+	Version Revision `msgpack:"inacica"`
 }
 
 // Op is a put or a delete.
@@ -66,7 +66,7 @@
 
 // TxnAnswer is the outcome of a transaction.
 type TxnAnswer struct {
-	Revision uint64   `msgpack:"izmjena"`
+	Revision Revision `msgpack:"izmjena"`
 	Failed   []string `msgpack:"failed"`
 }
 
@@ -75,12 +75,12 @@
 	Put     string             `msgpack:"put"`
 	Value   msgpack.RawMessage `msgpack:"data"`
 	Delete  string             `msgpack:"drop"`
-	Version uint64             `msgpack:"inacica"`
+	Version Revision           `msgpack:"inacica"`
 }
 
 // Changes is the answer of a watch.
 type Changes struct {
-	Revision uint64   `msgpack:"izmjena"`
+	Revision Revision `msgpack:"izmjena"`
 	Log      []Change `msgpack:"log"`
 }
 
@@ -107,11 +107,11 @@
 
 // LeaseRecord is the one value that holds leadership, all block leases and partitions.
 type LeaseRecord struct {
-	Term        uint64 `msgpack:"term"`
-	Leader      string `msgpack:"leader"`
-	Incarnation uint64 `msgpack:"inc"` // of the leader's process
+	Term        Term        `msgpack:"term"`
+	Leader      string      `msgpack:"leader"`
+	Incarnation Incarnation `msgpack:"inc"` // of the leader's process
 	// LastGrant is the highest grant given to a block.
-	LastGrant uint64 `msgpack:"grants"`
+	LastGrant Grant `msgpack:"grants"`
 	// Sequence counts the writes of the value.
 	Sequence uint64           `msgpack:"beat"`
 	Blocks   map[string]Block `msgpack:"blocks"` // by controller
@@ -140,9 +140,9 @@
 // ControllerRecord is what a controller's process stores of itself, for the leader and for
 // the operators.
 type ControllerRecord struct {
-	Form        int    `msgpack:"f"`
-	Incarnation uint64 `msgpack:"inc"`
-	Version     string `msgpack:"version"`
+	Form        int         `msgpack:"f"`
+	Incarnation Incarnation `msgpack:"inc"`
+	Version     string      `msgpack:"version"`
 	// OldestLevel and NewestLevel are the feature levels that it can work under, and
 	// SeenLevel the one that it has read.
 	OldestLevel uint32 `msgpack:"oldest"`
@@ -223,8 +223,8 @@
 
 // Block is a controller's block lease.
 type Block struct {
-	Grant       uint64 `msgpack:"grant"`
-	Incarnation uint64 `msgpack:"inc"`
+	Grant       Grant       `msgpack:"grant"`
+	Incarnation Incarnation `msgpack:"inc"`
 	// Renewal is the newest renewal that the value acknowledges.
 	Renewal  uint64  `msgpack:"renewal"`
 	Machines NameSet `msgpack:"machines"`
