--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -173,13 +173,9 @@
 	names := map[string]bool{s.HostName: true}
 	for i, peer := range s.Peers {
 		field := fmt.Sprintf("peers[%d]", i)
-		if peer.HostName == "" {
-			return invalid(field+".host_name", "missing")
-		}
-		if names[peer.HostName] {
-			return invalid(field+".host_name", "%q is named twice", peer.HostName)
+		if err := addName(names, field+".host_name", peer.HostName); err != nil {
+			return err
 		}
-		names[peer.HostName] = true
 		addresses = append(addresses, address{field + ".endpoint", peer.Endpoint})
 	}
 	for _, a := range addresses {
@@ -190,18 +186,26 @@
 	return nil
 }
 
+// addName adds a name to those that a list has so far. It must be there, and be new.
+func addName(names map[string]bool, field, name string) error {
+	if name == "" {
+		return invalid(field, "missing")
+	}
+	if names[name] {
+		return invalid(field, "%q is named twice", name)
+	}
+	names[name] = true
+	return nil
+}
+
 // checkTeams checks the teams' names, guarantees and limits.
 func (c *Cluster) checkTeams() error {
 	names := map[string]bool{}
 	for i, team := range c.Teams {
 		field := fmt.Sprintf("cluster.teams[%d]", i)
-		if team.Name == "" {
-			return invalid(field+".name", "missing")
-		}
-		if names[team.Name] {
-			return invalid(field+".name", "%q is named twice", team.Name)
+		if err := addName(names, field+".name", team.Name); err != nil {
+			return err
 		}
-		names[team.Name] = true
 		for _, amount := range []float64{team.CPUs, team.CPUsMax, team.GPUs, team.GPUsMax} {
 			if !(amount >= 0) || math.IsInf(amount, 0) {
 				return invalid(field, "amounts of %q must not be negative", team.Name)
--- a/internal/core/controller/controller.go
+++ b/internal/core/controller/controller.go
@@ -68,7 +68,7 @@
 	noBlockUntil time.Time // no block is asked for before, see stepDownIfIsolated
 
 	lastStepAt time.Time
-	resumedAt  time.Time // end of the last standstill, or time without the state service
+	resumedAt  time.Time // end of the last suspension, or time without the state service
 }
 
 // New returns the core of the controller described by cfg. incarnation must be larger
--- a/internal/core/controller/lookup.go
+++ b/internal/core/controller/lookup.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	// resumeSettleTime is how long after a standstill, or a time without the state
+	// resumeSettleTime is how long after a suspension, or a time without the state
 	// service, no job is reported as unknown: the other controllers take that long to
 	// say what they have seen meanwhile, should the state have lost it.
 	resumeSettleTime = 1500 * time.Millisecond
--- a/internal/core/eventloop/eventloop.go
+++ b/internal/core/eventloop/eventloop.go
@@ -18,16 +18,16 @@
 type Loop struct {
 	Now time.Time // when the event happened
 
-	watermark wire.Revision // see Watermark
-	effects   []Effect
-	lastCall  uint64 // id of the newest call
-	calls     map[uint64]call
+	highestRevision wire.Revision // see HighestRevision
+	effects         []Effect
+	lastCall        uint64 // id of the newest call
+	calls           map[uint64]call
 }
 
 // call is an open call.
 type call struct {
 	completed func(Completion)
-	watermark wire.Revision // when it was made
+	revision  wire.Revision // the highest when it was made
 }
 
 // Begin starts a step at now.
@@ -46,7 +46,7 @@
 		l.calls = map[uint64]call{}
 	}
 	l.lastCall++
-	l.calls[l.lastCall] = call{completed, l.watermark}
+	l.calls[l.lastCall] = call{completed, l.highestRevision}
 	return l.lastCall
 }
 
@@ -66,18 +66,20 @@
 func (l *Loop) DropCalls() { l.calls = nil }
 
 // HighestRevision is the highest revision that the state service has shown.
-func (l *Loop) HighestRevision() wire.Revision { return l.watermark }
+func (l *Loop) HighestRevision() wire.Revision { return l.highestRevision }
 
 // RaiseHighestRevision notes a revision that the state service has shown. Calls made from now
 // on are answered with it at least, unless the state loses data.
-func (l *Loop) RaiseHighestRevision(revision wire.Revision) { l.watermark = max(l.watermark, revision) }
+func (l *Loop) RaiseHighestRevision(revision wire.Revision) {
+	l.highestRevision = max(l.highestRevision, revision)
+}
 
 // ResetHighestRevision forgets all revisions seen, which say nothing about the state any more.
-func (l *Loop) ResetHighestRevision() { l.watermark = 0 }
+func (l *Loop) ResetHighestRevision() { l.highestRevision = 0 }
 
-// CallRevision returns the watermark of when an open call was made; 0 when there is no
-// such call.
-func (l *Loop) CallRevision(id uint64) wire.Revision { return l.calls[id].watermark }
+// CallRevision returns the highest revision of when an open call was made; 0 when there is
+// no such call.
+func (l *Loop) CallRevision(id uint64) wire.Revision { return l.calls[id].revision }
 
 // Reply answers a request.
 func (l *Loop) Reply(req uint64, code ReplyCode, body any) {
--- a/internal/core/owner/foreign.go
+++ b/internal/core/owner/foreign.go
@@ -72,7 +72,7 @@
 func (o *Owner) handleForeignHeartbeat(e eventloop.HeartbeatRequest) {
 	hb := &e.Heartbeat
 	w := o.workers.foreign[hb.Machine]
-	if w != nil && (hb.AgentEpoch < w.heartbeat.AgentEpoch || (hb.AgentEpoch == w.heartbeat.AgentEpoch && hb.Sequence <= w.heartbeat.Sequence)) {
+	if w != nil && !isNewer(hb, w.heartbeat.AgentEpoch, w.heartbeat.Sequence) {
 		o.loop.Unavailable(e.Req) // a late copy
 		return
 	}
--- a/internal/core/owner/observe.go
+++ b/internal/core/owner/observe.go
@@ -24,7 +24,7 @@
 // worker's lease, and a controller that has just taken a machine over knows no newer one:
 // from such a heartbeat it learns only the endpoint to probe.
 func (o *Owner) observe(m *machine, hb *wire.Heartbeat, source heartbeatSource) bool {
-	if hb.AgentEpoch < m.agentEpoch || (hb.AgentEpoch == m.agentEpoch && hb.Sequence <= m.sequence) {
+	if !isNewer(hb, m.agentEpoch, m.sequence) {
 		return false
 	}
 	if hb.Token < m.firstToken {
@@ -53,6 +53,12 @@
 	return true
 }
 
+// isNewer reports whether a worker's status is newer than the one with this agent epoch and
+// sequence number.
+func isNewer(hb *wire.Heartbeat, agentEpoch, sequence uint64) bool {
+	return hb.AgentEpoch > agentEpoch || (hb.AgentEpoch == agentEpoch && hb.Sequence > sequence)
+}
+
 // observeLiveness counts a machine as alive that has reported and receives commands.
 func (o *Owner) observeLiveness(m *machine, source heartbeatSource) {
 	if !m.hasShownToken() {
