--- a/internal/core/controller/controller_test.go
+++ b/internal/core/controller/controller_test.go
@@ -13,18 +13,21 @@
 	"fawncove/internal/wire"
 )
 
+// encode returns a value as the state service stores it.
+func encode(t *testing.T, value any) []byte {
+	t.Helper()
+	encoded, err := wire.Encode(value)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return encoded
+}
+
 // TestBadInputChangesNothing sends what no client, worker, controller or store should,
 // while the state service answers and while it is unreachable. Nothing of it may end the
 // process or change what is known; users and workers are answered at once, with 503 and
 // when to come back where the right answer cannot be known.
 func TestBadInputChangesNothing(t *testing.T) {
-	raw := func(v any) []byte {
-		b, err := wire.Encode(v)
-		if err != nil {
-			t.Fatal(err)
-		}
-		return b
-	}
 	put := func(key string, value []byte) eventloop.Event {
 		return eventloop.Completion{FromStateService: true, Outcome: eventloop.Succeeded, Changes: wire.Changes{Revision: 9, Log: []wire.Change{{Put: key, Value: value, Version: 9}}}}
 	}
@@ -47,10 +50,10 @@
 		"a freshness reply to no request":  {eventloop.PeerFrame{Frame: &peerpb.Frame{From: "n1", CancelledRevision: 1, FreshnessRequest: 1 << 60, FreshnessReplies: []*peerpb.FreshnessReply{{To: "n0", Incarnation: 7, Request: 1 << 60}}}}, eventloop.NoReply, eventloop.NoReply},
 		"an answer to no call":             {eventloop.Completion{ID: 1 << 40, Outcome: eventloop.Succeeded, Heartbeat: &wire.Heartbeat{}}, eventloop.NoReply, eventloop.NoReply},
 		"a stored job that cannot be read": {put(jobPrefix+"wk-000009", []byte{0xc1}), eventloop.NoReply, eventloop.NoReply},
-		"a stored job under another's key": {put(jobPrefix+"wk-000009", raw(wire.JobRecord{Job: wire.Job{ID: "wk-000008"}})), eventloop.NoReply, eventloop.NoReply},
+		"a stored job under another's key": {put(jobPrefix+"wk-000009", encode(t, wire.JobRecord{Job: wire.Job{ID: "wk-000008"}})), eventloop.NoReply, eventloop.NoReply},
 		"a stored end that cannot be read": {put(endPrefix+"wk-000009", []byte{0xc1}), eventloop.NoReply, eventloop.NoReply},
 		"a lease value that is none":       {put(leaseKey, []byte{0xc1}), eventloop.NoReply, eventloop.NoReply},
-		"a renewal that is none":           {put(renewalPrefix+"n1", raw(map[string]string{"pb": "?"})), eventloop.NoReply, eventloop.NoReply},
+		"a renewal that is none":           {put(renewalPrefix+"n1", encode(t, map[string]string{"pb": "?"})), eventloop.NoReply, eventloop.NoReply},
 		"a generation that is none":        {put(generationKey, []byte{0xc1}), eventloop.NoReply, eventloop.NoReply},
 		"a level record that is none":      {put(OperatorRequestKey, []byte{0xc1}), eventloop.NoReply, eventloop.NoReply},
 	} {
--- a/internal/core/controller/freshness_test.go
+++ b/internal/core/controller/freshness_test.go
@@ -109,10 +109,7 @@
 	read := func(a *lookupHarness, g eventloop.StateGet, v any) (gets []eventloop.StateGet) {
 		d := eventloop.Completion{ID: g.ID, FromStateService: true, Outcome: eventloop.NotFound}
 		if v != nil {
-			raw, err := wire.Encode(v)
-			if err != nil {
-				t.Fatal(err)
-			}
+			raw := encode(t, v)
 			d.Outcome, d.Pair = eventloop.Succeeded, wire.Pair{Key: g.Key, Value: raw, Version: 9}
 		}
 		_, gets = a.step(d)
@@ -173,10 +170,7 @@
 	if len(gets) != 1 {
 		t.Fatalf("%d readings for 10 who ask", len(gets))
 	}
-	raw, err := wire.Encode(wire.JobRecord{Job: wire.Job{ID: "wk-000001", Team: "free", Shape: wire.Array, Tasks: 2}, Owner: "n1"})
-	if err != nil {
-		t.Fatal(err)
-	}
+	raw := encode(t, wire.JobRecord{Job: wire.Job{ID: "wk-000001", Team: "free", Shape: wire.Array, Tasks: 2}, Owner: "n1"})
 	a.step(eventloop.Completion{ID: gets[0].ID, FromStateService: true, Outcome: eventloop.Succeeded, Pair: wire.Pair{Key: gets[0].Key, Value: raw, Version: 9}})
 	for req := range uint64(10) {
 		if a.replies[req+1].Code != eventloop.ReplyOK {
--- a/internal/core/controller/lease_read_test.go
+++ b/internal/core/controller/lease_read_test.go
@@ -42,10 +42,7 @@
 			if c.later {
 				core.applyLease(wire.LeaseRecord{Term: 3, Leader: "n1", Sequence: 1}, 6)
 			}
-			raw, err := wire.Encode(wire.LeaseRecord{Term: 3, Leader: "n1"})
-			if err != nil {
-				t.Fatal(err)
-			}
+			raw := encode(t, wire.LeaseRecord{Term: 3, Leader: "n1"})
 			core.Step(now.Add(time.Second), eventloop.Completion{ID: get.ID, FromStateService: true, Outcome: c.outcome, Pair: wire.Pair{Key: leaseKey, Value: raw, Version: c.version}})
 			if lost := core.recovery != nil; lost != c.lost {
 				t.Errorf("%s: takes the state for one that has lost data: %v", name, lost)
@@ -58,14 +55,8 @@
 // future, truncated or of the wrong kind is granted nothing by it and does not
 // write over it. Only the first makes it refuse for good.
 func TestUnreadableLeaseValue(t *testing.T) {
-	future, err := wire.Encode(map[string]any{"form": leasevalue.Form + 1})
-	if err != nil {
-		t.Fatal(err)
-	}
-	tooHigh, err := wire.Encode(map[string]any{"form": leasevalue.Form, "level": feature.Newest + 1})
-	if err != nil {
-		t.Fatal(err)
-	}
+	future := encode(t, map[string]any{"form": leasevalue.Form + 1})
+	tooHigh := encode(t, map[string]any{"form": leasevalue.Form, "level": feature.Newest + 1})
 	for name, v := range map[string]struct {
 		value   []byte
 		refused bool
--- a/internal/core/controller/lease_write_test.go
+++ b/internal/core/controller/lease_write_test.go
@@ -113,10 +113,7 @@
 		t.Fatalf("late write: %s, renewal %d", a.Outcome, k.lease.Blocks["n1"].Renewal)
 	}
 	k.muteWrites = false
-	raw, err := wire.Encode(k.lease)
-	if err != nil {
-		t.Fatal(err)
-	}
+	raw := encode(t, k.lease)
 	k.deliver(eventloop.Completion{ID: k.watchID, FromStateService: true, Outcome: eventloop.Succeeded, Changes: wire.Changes{Revision: k.revision,
 		Log: []wire.Change{{Put: leaseKey, Value: raw, Version: k.revision}}}})
 	// Until then its holder may start tasks on its machine.
--- a/internal/core/controller/recovery_test.go
+++ b/internal/core/controller/recovery_test.go
@@ -36,16 +36,6 @@
 	return page
 }
 
-// encode returns a value as the state service stores it.
-func encode(t *testing.T, value any) []byte {
-	t.Helper()
-	encoded, err := wire.Encode(value)
-	if err != nil {
-		t.Fatal(err)
-	}
-	return encoded
-}
-
 // TestLossDuringRestoreIsNoticed guards against a recovery that counts as restored what the
 // state service lost again between two pages of the reading that checks it: the job would
 // be forgotten.
--- a/internal/core/controller/refresh_test.go
+++ b/internal/core/controller/refresh_test.go
@@ -15,13 +15,6 @@
 	const id = "wk-000001"
 	c, now := newCore(t, []config.Team{{Name: "free"}}, wire.LeaseRecord{Term: 3, Leader: "n1", Partitions: map[string]string{"free": "n0"},
 		Blocks: map[string]wire.Block{"n0": {Grant: 1 << 18, Incarnation: 7}}})
-	raw := func(v any) []byte {
-		b, err := wire.Encode(v)
-		if err != nil {
-			t.Fatal(err)
-		}
-		return b
-	}
 	var watch, read uint64
 	var reply eventloop.Reply
 	var handle func(ev eventloop.Event)
@@ -52,8 +45,8 @@
 		t.Fatalf("no watch is open, or no record read: %d, %d", watch, read)
 	}
 	handle(eventloop.Completion{ID: watch, FromStateService: true, Outcome: eventloop.Succeeded, Changes: wire.Changes{Revision: 9,
-		Log: []wire.Change{{Delete: jobPrefix + id, Version: 9}, {Put: endPrefix + id, Value: raw(wire.EndRecord{State: wire.Cancelled, Tasks: 2}), Version: 9}}}})
-	handle(eventloop.Completion{ID: read, FromStateService: true, Outcome: eventloop.Succeeded, Pair: wire.Pair{Key: jobPrefix + id, Value: raw(wire.JobRecord{Job: job}), Version: 8}})
+		Log: []wire.Change{{Delete: jobPrefix + id, Version: 9}, {Put: endPrefix + id, Value: encode(t, wire.EndRecord{State: wire.Cancelled, Tasks: 2}), Version: 9}}}})
+	handle(eventloop.Completion{ID: read, FromStateService: true, Outcome: eventloop.Succeeded, Pair: wire.Pair{Key: jobPrefix + id, Value: encode(t, wire.JobRecord{Job: job}), Version: 8}})
 	if a, _ := reply.Body.(wire.JobAnswer); reply.Code != eventloop.ReplyOK || a.State != wire.Cancelled {
 		t.Errorf("answered %s %+v after its end was known", reply.Code, reply.Body)
 	}
@@ -70,10 +63,7 @@
 	c, now := newCore(t, []config.Team{{Name: "free"}}, wire.LeaseRecord{Term: 3, Leader: "n1", Partitions: map[string]string{"free": "n0"},
 		Blocks: map[string]wire.Block{"n0": {Grant: 1 << 18, Incarnation: 7}}})
 	job := wire.Job{ID: id, Team: "free", Shape: wire.Array, Priority: "standard", Tasks: 2, CPUs: 1}
-	record, err := wire.Encode(wire.JobRecord{Job: job})
-	if err != nil {
-		t.Fatal(err)
-	}
+	record := encode(t, wire.JobRecord{Job: job})
 	var watch, read uint64
 	var handle func(ev eventloop.Event)
 	handle = func(ev eventloop.Event) {
--- a/internal/core/controller/submit_test.go
+++ b/internal/core/controller/submit_test.go
@@ -57,10 +57,7 @@
 			continue
 		}
 		_, gets := a.step(eventloop.Completion{ID: txns[0].ID, FromStateService: true, Outcome: eventloop.Conflict, Txn: wire.TxnAnswer{Failed: []string{jobPrefix + "wk-000001"}}})
-		raw, err := wire.Encode(rec)
-		if err != nil {
-			t.Fatal(err)
-		}
+		raw := encode(t, rec)
 		a.step(eventloop.Completion{ID: gets[0].ID, FromStateService: true, Outcome: eventloop.Succeeded, Pair: wire.Pair{Key: gets[0].Key, Value: raw, Version: 9}})
 		if a.replies[1].Code != eventloop.ReplyOK {
 			t.Errorf("known: %+v", a.replies[1])
--- a/internal/core/owner/failure_test.go
+++ b/internal/core/owner/failure_test.go
@@ -28,9 +28,7 @@
 	seq := uint64(0)
 	for s := range 160 {
 		at := now.Add(time.Duration(s) * time.Second)
-		o.ChangesKnown(o.view.LeaseVersion, at)
-		o.loop.Begin(at)
-		renewLease(o)
+		beginCurrent(o, at)
 		for _, name := range names {
 			m := o.workers.machines[name]
 			var tasks []wire.TaskStatus
@@ -70,9 +68,7 @@
 	attempts, again := map[uint64]bool{}, time.Duration(0)
 	for s := 1; s < 120 && again == 0; s++ {
 		at := now.Add(time.Duration(s) * time.Second)
-		o.ChangesKnown(o.view.LeaseVersion, at)
-		o.loop.Begin(at)
-		renewLease(o)
+		beginCurrent(o, at)
 		var tasks []wire.TaskStatus
 		for _, key := range sortedAttempts(m) {
 			if attempts[key.number] = true; len(attempts) > 1 {
--- a/internal/core/owner/helpers_test.go
+++ b/internal/core/owner/helpers_test.go
@@ -124,6 +124,13 @@
 	return o.loop.Effects()
 }
 
+// beginCurrent begins a step at now, with all changes known and the lease renewed.
+func beginCurrent(o *Owner, now time.Time) {
+	o.ChangesKnown(o.view.LeaseVersion, now)
+	o.loop.Begin(now)
+	renewLease(o)
+}
+
 // renewLease has the lease value apply a renewal that is sent now.
 func renewLease(o *Owner) {
 	b := o.view.Lease.Blocks["n0"]
--- a/internal/core/owner/reservation_test.go
+++ b/internal/core/owner/reservation_test.go
@@ -19,9 +19,7 @@
 	ends := map[string]time.Time{}
 	for s := 0; s < 200 && begun == 0; s++ {
 		at := now.Add(time.Duration(s) * time.Second)
-		o.ChangesKnown(o.view.LeaseVersion, at)
-		o.loop.Begin(at)
-		renewLease(o)
+		beginCurrent(o, at)
 		var tasks []wire.TaskStatus
 		for _, key := range sortedAttempts(m) {
 			x := wire.TaskStatus{Task: key.task, Attempt: key.number, State: wire.TaskRunning}
@@ -59,9 +57,7 @@
 		begun := time.Duration(0)
 		for s := 1; s < 120 && begun == 0; s++ {
 			at := now.Add(time.Duration(s) * time.Second)
-			o.ChangesKnown(o.view.LeaseVersion, at)
-			o.loop.Begin(at)
-			renewLease(o)
+			beginCurrent(o, at)
 			for _, m := range all {
 				var tasks []wire.TaskStatus
 				for _, key := range sortedAttempts(m) {
@@ -100,9 +96,7 @@
 	kept, came, waits := time.Duration(0), time.Duration(0), time.Duration(0)
 	for s := 1; s < 240 && waits == 0; s++ {
 		at := now.Add(time.Duration(s) * time.Second)
-		o.ChangesKnown(o.view.LeaseVersion, at)
-		o.loop.Begin(at)
-		renewLease(o)
+		beginCurrent(o, at)
 		var tasks []wire.TaskStatus
 		for _, key := range sortedAttempts(m) {
 			tasks = append(tasks, wire.TaskStatus{Task: key.task, Attempt: key.number, State: wire.TaskRunning})
--- a/internal/testkit/golden/golden.go
+++ b/internal/testkit/golden/golden.go
@@ -16,6 +16,8 @@
 	"github.com/vmihailenco/msgpack/v5"
 	"google.golang.org/protobuf/proto"
 	"google.golang.org/protobuf/reflect/protoreflect"
+
+	"fawncove/internal/wire"
 )
 
 var update = flag.Bool("update-golden", false, "write the golden files; only for forms that are new")
@@ -42,6 +44,29 @@
 	return want
 }
 
+// RoundTrip returns a test of one type of stored value or message: a sample is encoded as
+// the golden file has it, and what is read from the file is encoded as the file again.
+func RoundTrip[T any](name string) func(*testing.T) {
+	return func(t *testing.T) {
+		var sample, read T
+		Fill(&sample)
+		if err := wire.Decode(Check(t, name, encode(t, sample)), &read); err != nil {
+			t.Fatalf("decode: %v", err)
+		}
+		Check(t, name, encode(t, read))
+	}
+}
+
+// encode returns a value as it is stored or sent.
+func encode(t *testing.T, value any) []byte {
+	t.Helper()
+	encoded, err := wire.Encode(value)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return encoded
+}
+
 // writeNew writes a golden file that does not exist. A form that is stored or sent must
 // not change, so a file that exists stays as it is.
 func writeNew(t *testing.T, file string, encoded []byte) {
